--- a/Makefile
+++ b/Makefile
@@ -22,6 +22,12 @@
 test:
 	$(GO) test -race -count=1 ./...
 
+# Renames an identifier in every package: make rename AT=FILE:LINE:COLUMN TO=NAME.
+.PHONY: rename
+GOPLS ?= $(GO) run golang.org/x/tools/gopls@v0.23.0
+rename:
+	$(GOPLS) rename -w $(AT) $(TO)
+
 # Nodes in processes of their own with faults drawn from seeds, for as long as is
 # said. Many seeds: SOAK_SEEDS="$(seq 1 50)".
 # SOAK_PLANNED=1 has planned work alone. Failed runs say where their logs are.
