--- a/node/node.go
+++ b/node/node.go
@@ -204,7 +204,7 @@
 	o := &owner.Owner{
 		Pool: pool, Journal: j, Workers: n.Ports.Workers, Advisor: n.Ports.Advisor,
 		Limits: scheduler.Limits{
-			Lease: min(lease, b.LeaseMost.Std()), LeaseMost: b.LeaseMost.Std(), StopTime: b.StopTime.Std(), Keep: b.StatusKept.Std(), FarTimes: b.FarTimes,
+			Lease: min(lease, b.LeaseMost.Std()), MaxLease: b.LeaseMost.Std(), StopTime: b.StopTime.Std(), Retention: b.StatusKept.Std(), RemoteFactor: b.FarTimes,
 		},
 		Clock: n.Clock, Logger: logger, Alone: n.alone, Count: n.Ports.Count,
 	}
--- a/node/rpc.go
+++ b/node/rpc.go
@@ -44,8 +44,8 @@
 
 // reportAsk asks the owner of a pool for its report.
 type reportAsk struct {
-	Pool  string            `json:"pool"`
-	Asked scheduler.Cordons `json:"asked"`
+	Pool  string                  `json:"pool"`
+	Asked scheduler.CordonRequest `json:"asked"`
 }
 
 // empty is what a call answers that only succeeds or fails.
@@ -214,7 +214,7 @@
 }
 
 // report asks the owner of a pool for its report, on this node or another.
-func (n *Node) report(ctx context.Context, pool string, asked scheduler.Cordons) (scheduler.Report, error) {
+func (n *Node) report(ctx context.Context, pool string, asked scheduler.CordonRequest) (scheduler.Report, error) {
 	if o := n.owner(pool); o != nil {
 		return o.Report(ctx, asked)
 	}
--- a/services/fleet/manager.go
+++ b/services/fleet/manager.go
@@ -44,7 +44,7 @@
 	// Allow asks a pool's owner for what it tells of its allowances, and may give it others.
 	Allow func(ctx context.Context, pool string, q quota.Question) (quota.Statement, error)
 	// Report asks a pool's owner for its report, and for cordons.
-	Report func(ctx context.Context, pool string, asked scheduler.Cordons) (scheduler.Report, error)
+	Report func(ctx context.Context, pool string, asked scheduler.CordonRequest) (scheduler.Report, error)
 
 	done     chan struct{}
 	reported chan struct{} // pools have reported
@@ -258,7 +258,7 @@
 		p.logged = [2]int{p.softNeed(), supply}
 		m.Logger.Info().Str("event", "capacity").Str("of", name).Int("need", p.need).Int("level", p.level).Int("expected", p.expected).Int("supply", supply).
 			Int("lasting_cpu", p.report.Lasting.CPU).Int("running_cpu", p.report.Running.CPU).Int("waiting_cpu", p.report.Waiting.CPU).
-			Int("arrives_cpu", p.report.Arrives.CPU).Int("presses_cpu", p.report.Presses.CPU).
+			Int("arrives_cpu", p.report.ArrivalLoad.CPU).Int("presses_cpu", p.report.Required.CPU).
 			Dur("age", m.Clock.Now().Sub(p.at)).Msg("what a pool needs or has is another")
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.view.pools)) {
@@ -346,7 +346,7 @@
 func (m *Manager) askAll(ctx context.Context, pools []string) {
 	bounded, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	questions := make([]scheduler.Cordons, len(pools)) // all are made before an answer changes what is known
+	questions := make([]scheduler.CordonRequest, len(pools)) // all are made before an answer changes what is known
 	for i, pool := range pools {
 		questions[i] = m.cordons(pool)
 	}
@@ -370,7 +370,7 @@
 }
 
 // ask takes the report of one pool.
-func (m *Manager) ask(ctx context.Context, pool string, asked scheduler.Cordons) {
+func (m *Manager) ask(ctx context.Context, pool string, asked scheduler.CordonRequest) {
 	r, err := m.Report(ctx, pool, asked)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -389,22 +389,22 @@
 
 // cordons returns what is asked of a pool: the workers that nothing may be placed
 // on, and those whose lives have been ended.
-func (m *Manager) cordons(pool string) scheduler.Cordons {
+func (m *Manager) cordons(pool string) scheduler.CordonRequest {
 	m.asked++
-	asked := scheduler.Cordons{Epoch: m.Epoch(), Number: m.asked}
+	asked := scheduler.CordonRequest{Epoch: m.Epoch(), Number: m.asked}
 	for _, a := range m.view.actions {
 		switch {
 		case a.from != pool || a.worker == "":
 		case a.stage == settling && m.ended(a):
-			asked.Over = append(asked.Over, worker.Life{ID: a.worker, Born: a.born})
+			asked.Ended = append(asked.Ended, worker.Life{ID: a.worker, Born: a.born})
 		default:
-			asked.Workers = append(asked.Workers, scheduler.Cordoned{ID: a.worker, Must: a.to == ""})
+			asked.Workers = append(asked.Workers, scheduler.CordonedWorker{ID: a.worker, MaintenanceRequired: a.to == ""})
 		}
 	}
 	m.mu.Lock()
 	asked.Accounts = m.lends.Accounts()
 	m.mu.Unlock()
-	slices.SortFunc(asked.Workers, func(a, b scheduler.Cordoned) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(asked.Workers, func(a, b scheduler.CordonedWorker) int { return cmp.Compare(a.ID, b.ID) })
 	return asked
 }
 
--- a/services/fleet/need.go
+++ b/services/fleet/need.go
@@ -41,10 +41,10 @@
 // takes no instance from what can still be in time. What must be apart leaves most of
 // its instances free, which are as good as spare ones.
 func needs(r scheduler.Report, size job.Size) (hard, soft int) {
-	used := r.Lasting.Plus(r.Running.Max(r.Arrives)).Plus(r.Presses)
+	used := r.Lasting.Plus(r.Running.Max(r.ArrivalLoad)).Plus(r.Required)
 	share := shareOf(used, size) * spareShare
 	more := max(spareFor(r.Slack), shareOf(r.Overdue, size))
-	return max(int(math.Ceil(share)), r.Apart), max(int(math.Ceil(share+more)), r.Apart)
+	return max(int(math.Ceil(share)), r.MinWorkers), max(int(math.Ceil(share+more)), r.MinWorkers)
 }
 
 // spareFor returns how many instances a pool is to have free, so that a rush of
--- a/services/fleet/order.go
+++ b/services/fleet/order.go
@@ -52,7 +52,7 @@
 	}
 	for _, w := range p.report.Workers {
 		if w.ID == a.worker {
-			a.born = w.Born
+			a.born = w.StartedAt
 			return w.Empty
 		}
 	}
--- a/services/fleet/plan.go
+++ b/services/fleet/plan.go
@@ -42,8 +42,8 @@
 	for name, p := range v.pools {
 		hard, soft := needs(p.report, size)
 		p.follow(hard, soft, v.supply(name), v.now)
-		comes := shareOf(p.report.Arrives, size)
-		p.rush.follow(float64(hard)-shareOf(p.report.Lasting, size)*spareShare, comes, p.report.Rises, v.now)
+		comes := shareOf(p.report.ArrivalLoad, size)
+		p.rush.follow(float64(hard)-shareOf(p.report.Lasting, size)*spareShare, comes, p.report.Rising, v.now)
 	}
 	v.expect()
 	began := v.maintain()
--- a/services/fleet/plan_test.go
+++ b/services/fleet/plan_test.go
@@ -53,7 +53,7 @@
 		}
 		v.instances[i.Name] = i
 	}
-	v.pools["p0"].report.Presses = fleetSize.Times(rush)
+	v.pools["p0"].report.Required = fleetSize.Times(rush)
 	v.waves = []*waveState{{Wave: w, seen: v.now, done: make(map[string]bool)}}
 	return v
 }
@@ -157,7 +157,7 @@
 	settle()
 	first := v.supply("p0")
 	assert.Assert(t, first > 400, "%d instances", first)
-	v.pools["p1"].report.Presses = fleetSize.Times(900)
+	v.pools["p1"].report.Required = fleetSize.Times(900)
 	v.plan()
 	assert.Assert(t, v.supply("p0") >= first*3/4, "%d of %d are left at once", v.supply("p0"), first)
 	for range 20 {
@@ -166,13 +166,13 @@
 	}
 	a, b := v.supply("p0"), v.supply("p1")
 	assert.Assert(t, float64(a) <= evenMargin*float64(b)+evenMargin && b <= a+1, "%d and %d", a, b)
-	v.pools["p0"].report.Presses, v.pools["p0"].report.Overdue = job.Size{}, fleetSize.Times(900)
+	v.pools["p0"].report.Required, v.pools["p0"].report.Overdue = job.Size{}, fleetSize.Times(900)
 	for range 20 {
 		settle()
 		v.plan()
 	}
 	assert.Assert(t, v.supply("p0") < 20, "%d instances for what is overdue", v.supply("p0"))
-	v.pools["p1"].report.Presses = job.Size{}
+	v.pools["p1"].report.Required = job.Size{}
 	v.now = v.now.Add(2 * holdLevel)
 	for range 20 {
 		settle()
--- a/services/owner/advice.go
+++ b/services/owner/advice.go
@@ -38,13 +38,13 @@
 // ask asks one question and returns whether there was one.
 func (o *Owner) ask(ctx context.Context) bool {
 	o.mu.Lock()
-	q, has := o.pool.NextQuestion(o.Clock.Now())
+	q, has := o.pool.NextAdviceRequest(o.Clock.Now())
 	o.mu.Unlock()
 	if !has || ctx.Err() != nil {
 		return false
 	}
 	tickets, err := o.Advisor.Ask(ctx, q.Step.String(), q.Workers)
-	o.change(func(p *scheduler.Pool, now time.Time) { p.Advised(q, tickets, err, now) })
+	o.change(func(p *scheduler.Pool, now time.Time) { p.HandleAdvice(q, tickets, err, now) })
 	if err != nil {
 		select {
 		case <-o.Clock.After(askPause):
--- a/services/owner/link.go
+++ b/services/owner/link.go
@@ -89,8 +89,8 @@
 	help.Stop()
 	o.mu.Lock()
 	now := o.Clock.Now()
-	if o.pool.Answered(order, answer, now) {
-		o.pool.Again(order, now)
+	if o.pool.HandleOrderResponse(order, answer, now) {
+		o.pool.Retry(order, now)
 	}
 	o.attend()
 	o.mu.Unlock()
@@ -135,11 +135,11 @@
 	case order.Stop:
 		stop := p.StopOrder(order)
 		return func() port.Answer { return l.port.Stop(l.ctx, stop) }
-	case order.Pace:
-		pace := p.PaceOrder(order)
+	case order.CPUShare:
+		pace := p.CPUShareOrder(order)
 		return func() port.Answer { return l.port.Pace(l.ctx, pace) }
 	}
-	start := p.Start(order, l.owner.Clock.Now())
+	start := p.StartOrder(order, l.owner.Clock.Now())
 	return func() port.Answer { return l.port.Start(l.ctx, start) }
 }
 
@@ -179,7 +179,7 @@
 func (l *link) next() (time.Time, time.Duration, bool) {
 	l.owner.mu.Lock()
 	defer l.owner.mu.Unlock()
-	return l.owner.pool.NextLook(l.id)
+	return l.owner.pool.NextPoll(l.id)
 }
 
 // sleep waits for a time; it returns false once the link is closed.
@@ -201,7 +201,7 @@
 		return false
 	}
 	o.isolate()
-	look, ask, known := o.pool.BeginLook(l.id, wait, o.Clock.Now())
+	look, ask, known := o.pool.BeginPoll(l.id, wait, o.Clock.Now())
 	o.mu.Unlock()
 	if !known {
 		return true // the owner is about to end the link
@@ -212,7 +212,7 @@
 		o.mu.Unlock()
 		return false // that it got no answer says nothing of the worker
 	}
-	o.pool.EndLook(look, listing, answer, o.Clock.Now())
+	o.pool.EndPoll(look, listing, answer, o.Clock.Now())
 	o.attend()
 	o.mu.Unlock()
 	l.wake()
--- a/services/owner/owner.go
+++ b/services/owner/owner.go
@@ -121,14 +121,14 @@
 // attend wakes the links of workers that there are orders for, and opens those anew that are
 // of no use any more. The lock is held.
 func (o *Owner) attend() {
-	for _, id := range o.pool.Relink() {
+	for _, id := range o.pool.WorkersToReconnect() {
 		if l := o.links[id]; l != nil {
 			l.close()
 			delete(o.links, id)
 			o.link(l.parent, id)
 		}
 	}
-	for _, id := range o.pool.Attention() {
+	for _, id := range o.pool.PendingWorkers() {
 		if l := o.links[id]; l != nil {
 			l.wake()
 		}
@@ -148,17 +148,17 @@
 	present := make(map[worker.ID]bool, len(listed))
 	for _, w := range listed {
 		if w.Pool != o.Pool {
-			o.pool.Miss(w.ID) // it may have started again there under its id
+			o.pool.UnlistWorker(w.ID) // it may have started again there under its id
 			continue
 		}
 		present[w.ID] = true
-		o.pool.See(w)
+		o.pool.UpdateWorker(w)
 		o.link(ctx, w.ID)
 	}
 	if whole {
 		for _, id := range o.pool.Workers() {
 			if !present[id] {
-				o.pool.Miss(id)
+				o.pool.UnlistWorker(id)
 			}
 		}
 	}
@@ -171,7 +171,7 @@
 func (o *Owner) Miss(ids []worker.ID) {
 	o.change(func(p *scheduler.Pool, _ time.Time) {
 		for _, id := range ids {
-			p.Miss(id)
+			p.UnlistWorker(id)
 		}
 	})
 }
--- a/services/owner/report.go
+++ b/services/owner/report.go
@@ -35,7 +35,7 @@
 
 // Report returns what the pool tells of itself, after it has cordoned just the
 // workers that are asked for.
-func (o *Owner) Report(ctx context.Context, asked scheduler.Cordons) (scheduler.Report, error) {
+func (o *Owner) Report(ctx context.Context, asked scheduler.CordonRequest) (scheduler.Report, error) {
 	bounded, cancel := context.WithTimeout(ctx, reportWait)
 	defer cancel()
 	err := o.keep(bounded, func() (uint64, error) {
@@ -63,19 +63,19 @@
 		if q.Allow == nil {
 			return 0, nil
 		}
-		return o.pool.Allow(*q.Allow), nil
+		return o.pool.SetAllowances(*q.Allow), nil
 	})
 	if err != nil {
 		return quota.Statement{}, err
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.pool.Statement(q, o.Clock.Now()), nil
+	return o.pool.QuotaReport(q, o.Clock.Now()), nil
 }
 
 // Peek returns what the pool tells of itself, and changes nothing.
 func (o *Owner) Peek() scheduler.Report {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.pool.Report(scheduler.Cordons{}, o.Clock.Now())
+	return o.pool.Report(scheduler.CordonRequest{}, o.Clock.Now())
 }
--- a/services/owner/restart_test.go
+++ b/services/owner/restart_test.go
@@ -66,7 +66,7 @@
 		o.See(ctx, []worker.Worker{listed}, false)
 		synctest.Wait()
 		assert.DeepEqual(t, opened, []string{"a", "b"})
-		assert.Assert(t, o.pool.Report(scheduler.Cordons{}, o.Clock.Now()).Workers[0].Open)
+		assert.Assert(t, o.pool.Report(scheduler.CordonRequest{}, o.Clock.Now()).Workers[0].Open)
 		cancel()
 		<-ended
 	})
--- a/services/owner/submit.go
+++ b/services/owner/submit.go
@@ -49,7 +49,7 @@
 func (o *Owner) taken(id job.ID) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.pool.Kept(id) {
+	if o.pool.Persisted(id) {
 		return nil
 	}
 	return errkind.New(errkind.LogUnavailable, "the store did not answer in time; the job was not kept")
@@ -62,7 +62,7 @@
 	if err := o.live(); err != nil {
 		return 0, err
 	}
-	if err := o.pool.Check(s.ID, s.Customer); errkind.Is(err, errkind.Forbidden) {
+	if err := o.pool.CheckAccess(s.ID, s.Customer); errkind.Is(err, errkind.Forbidden) {
 		return 0, err
 	}
 	if o.Journal.StuckFor(stuckRefuse) && !o.pool.Has(s.ID) {
@@ -71,12 +71,12 @@
 			Msg("a job is refused since the store does not answer")
 		return 0, errkind.New(errkind.LogUnavailable, "the store has not answered for %s", stuck.Round(time.Millisecond))
 	}
-	if step, beyond := o.pool.Beyond(s); beyond {
+	if step, beyond := o.pool.ExceedsLimit(s); beyond {
 		o.Logger.Info().Str("event", "submit").Str("job", string(s.ID)).Str("customer", s.Customer).Int("step", step).Str("outcome", "refused").
 			Msg("a job is refused since its customer may not have so much running")
 		return 0, errkind.New(errkind.Infeasible, "step %d: what begins together is larger than all that customer %s may have running", step, s.Customer)
 	}
-	if full := o.pool.Full(s, o.Clock.Now()); full > 0 {
+	if full := o.pool.ExcessWait(s, o.Clock.Now()); full > 0 {
 		o.Logger.Info().Str("event", "submit").Str("job", string(s.ID)).Dur("full", full).Str("outcome", "refused").
 			Msg("a job is refused since it would not be done in time")
 		return 0, errkind.NewRetry(errkind.Overloaded, full, "the pool is full; a job that comes now would be %s late", full.Round(time.Millisecond))
@@ -108,7 +108,7 @@
 	if err := o.live(); err != nil {
 		return 0, err
 	}
-	if err := o.pool.Check(id, by); err != nil {
+	if err := o.pool.CheckAccess(id, by); err != nil {
 		return 0, err
 	}
 	defer o.attend()
@@ -130,7 +130,7 @@
 	if err := o.live(); err != nil {
 		return "", err
 	}
-	if err := o.pool.Check(id, by); err != nil {
+	if err := o.pool.CheckAccess(id, by); err != nil {
 		return "", err
 	}
 	state, _ := o.pool.State(id)
--- a/services/owner/submit_test.go
+++ b/services/owner/submit_test.go
@@ -33,7 +33,7 @@
 	o := &Owner{
 		Pool: "p", Journal: &journal.Journal{Partition: port.Partition{Topic: "t"}, Store: store, Logger: log.Nop()},
 		Workers: w.Workers("n1"), Advisor: w.Advisor(), Logger: log.Nop(), Clock: clock.Clock{},
-		Limits: scheduler.Limits{Lease: 4 * time.Second, Keep: time.Minute},
+		Limits: scheduler.Limits{Lease: 4 * time.Second, Retention: time.Minute},
 	}
 	assert.NilError(t, o.Claim(t.Context(), "n1"))
 	return o
@@ -89,7 +89,7 @@
 		began, empty := time.Now(), time.Duration(0)
 		for n := uint64(1); empty == 0; n++ {
 			asked := time.Now()
-			r, err := o.Report(ctx, scheduler.Cordons{Epoch: 1, Number: n, Workers: []scheduler.Cordoned{{ID: id}}})
+			r, err := o.Report(ctx, scheduler.CordonRequest{Epoch: 1, Number: n, Workers: []scheduler.CordonedWorker{{ID: id}}})
 			assert.NilError(t, err)
 			assert.Assert(t, time.Since(asked) <= patience, "a report took %s", time.Since(asked))
 			assert.Equal(t, len(r.Workers), 1)
--- a/services/scheduler/advice.go
+++ b/services/scheduler/advice.go
@@ -33,8 +33,8 @@
 	spareTickets = 2                      // workers with tickets beyond those that a step needs
 )
 
-// Question is one question to the advice service.
-type Question struct {
+// AdviceRequest is one question to the advice service.
+type AdviceRequest struct {
 	Step    job.StepRef
 	Workers []worker.ID
 	step    *stepState
@@ -51,8 +51,8 @@
 	return has && now.Add(askMargin).Before(t.until)
 }
 
-// NextQuestion returns the most urgent question, false for none.
-func (p *Pool) NextQuestion(now time.Time) (Question, bool) {
+// NextAdviceRequest returns the most urgent question, false for none.
+func (p *Pool) NextAdviceRequest(now time.Time) (AdviceRequest, bool) {
 	var best *stepState
 	for _, j := range p.active {
 		if j.queue.Advice == nil {
@@ -71,15 +71,15 @@
 		}
 	}
 	if best == nil {
-		return Question{}, false
+		return AdviceRequest{}, false
 	}
-	q := Question{Step: best.ref, step: best, asked: p.toAsk(best, now)}
+	q := AdviceRequest{Step: best.ref, step: best, asked: p.toAsk(best, now)}
 	for _, w := range q.asked {
 		q.Workers = append(q.Workers, w.info.ID)
 	}
 	if len(q.Workers) == 0 {
 		best.askAfter = now.Add(askAgain)
-		return Question{}, false
+		return AdviceRequest{}, false
 	}
 	best.asking = true
 	return q, true
@@ -176,8 +176,8 @@
 	return list[:min(askMost, len(list))]
 }
 
-// Advised takes the answer to a question.
-func (p *Pool) Advised(q Question, tickets []port.Ticket, err error, now time.Time) {
+// HandleAdvice takes the answer to a question.
+func (p *Pool) HandleAdvice(q AdviceRequest, tickets []port.Ticket, err error, now time.Time) {
 	s := q.step
 	s.asking = false
 	if err != nil {
--- a/services/scheduler/allowance.go
+++ b/services/scheduler/allowance.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// Statement returns what the pool tells of its allowances to who has asked.
-func (p *Pool) Statement(q quota.Question, now time.Time) quota.Statement {
+// QuotaReport returns what the pool tells of its allowances to who has asked.
+func (p *Pool) QuotaReport(q quota.Question, now time.Time) quota.Statement {
 	s := quota.Statement{Owner: p.Token, Config: p.version(), Allowed: p.allowed.kept, Accounts: p.accounts(q, now)}
 	if s.Allowed.Epoch == q.Epoch {
 		s.Allowed.Of = nil
@@ -172,9 +172,9 @@
 	return s
 }
 
-// Allow takes allowances from the holder of the duty for instances, unless later ones are
+// SetAllowances takes allowances from the holder of the duty for instances, unless later ones are
 // known. It returns the batch that carries the newest that lower something.
-func (p *Pool) Allow(a quota.Allowances) uint64 {
+func (p *Pool) SetAllowances(a quota.Allowances) uint64 {
 	last := p.allowed.set
 	if !last.Before(a) {
 		return p.allowed.reducedIn
@@ -289,9 +289,9 @@
 	return nil
 }
 
-// Beyond returns a step of a job that can't be served, since one of its tasks, or a gang of
+// ExceedsLimit returns a step of a job that can't be served, since one of its tasks, or a gang of
 // them, is larger than all that its customer may have running; false for none.
-func (p *Pool) Beyond(s job.Submission) (step int, beyond bool) {
+func (p *Pool) ExceedsLimit(s job.Submission) (step int, beyond bool) {
 	if p.Has(s.ID) {
 		return 0, false
 	}
--- a/services/scheduler/answers.go
+++ b/services/scheduler/answers.go
@@ -12,9 +12,9 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// Answered takes a worker's answer to an order. It returns whether the order is
+// HandleOrderResponse takes a worker's answer to an order. It returns whether the order is
 // to be given again.
-func (p *Pool) Answered(o Order, a port.Answer, now time.Time) bool {
+func (p *Pool) HandleOrderResponse(o Order, a port.Answer, now time.Time) bool {
 	w := o.Run.at
 	p.stamp++
 	p.heard(w, a, now)
@@ -32,7 +32,7 @@
 	switch {
 	case o.Stop:
 		return p.stopAnswered(o.Run, a, now)
-	case o.Pace:
+	case o.CPUShare:
 		return a.Verdict == port.Unknown || a.Verdict == port.Unreached
 	}
 	return p.startAnswered(o.Run, a, now)
--- a/services/scheduler/clock_test.go
+++ b/services/scheduler/clock_test.go
@@ -33,7 +33,7 @@
 		if !has {
 			return
 		}
-		deadline := d.Start(order, d.now).Deadline
+		deadline := d.StartOrder(order, d.now).Deadline
 		rate := 1 - clockSlack
 		refused := read.Add(time.Duration(float64(deadline-heard.Clock) / rate))
 		assert.Assert(t, refused.Sub(kept) <= bound, "sent %s after it was kept, it may be begun until %s after it", d.now.Sub(kept), refused.Sub(kept))
@@ -52,6 +52,6 @@
 	d.submit("1", 1)
 	d.keep()
 	order, _ := d.NextOrder("w", d.now)
-	deadline := d.Start(order, d.now).Deadline
+	deadline := d.StartOrder(order, d.now).Deadline
 	assert.Assert(t, deadline > heard.Clock+2*time.Second+startTravel/2, "the worker's clock shows at least %s", heard.Clock+1960*time.Millisecond)
 }
--- a/services/scheduler/cordon.go
+++ b/services/scheduler/cordon.go
@@ -14,25 +14,25 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// Cordoned is a worker that nothing may be placed on.
-type Cordoned struct {
+// CordonedWorker is a worker that nothing may be placed on.
+type CordonedWorker struct {
 	ID worker.ID `json:"id"`
-	// Must says that its instance must be maintained: tasks that last are stopped
+	// MaintenanceRequired says that its instance must be maintained: tasks that last are stopped
 	// there in the end, though they have no other place, as it comes back soon.
-	Must bool `json:"must,omitempty"`
+	MaintenanceRequired bool `json:"must,omitempty"`
 }
 
-// Cordons is what the holder of the duty for instances asks of a pool.
-type Cordons struct {
-	Epoch    uint64        `json:"epoch"`              // of the holder
-	Number   uint64        `json:"number"`             // of the question within the epoch; a later one has a higher
-	Workers  []Cordoned    `json:"workers,omitempty"`  // all that are to be cordoned
-	Over     []worker.Life `json:"over,omitempty"`     // workers whose lives were ended by an order
-	Accounts []string      `json:"accounts,omitempty"` // customers whose accounts are told, whatever they want
+// CordonRequest is what the holder of the duty for instances asks of a pool.
+type CordonRequest struct {
+	Epoch    uint64           `json:"epoch"`              // of the holder
+	Number   uint64           `json:"number"`             // of the question within the epoch; a later one has a higher
+	Workers  []CordonedWorker `json:"workers,omitempty"`  // all that are to be cordoned
+	Ended    []worker.Life    `json:"over,omitempty"`     // workers whose lives were ended by an order
+	Accounts []string         `json:"accounts,omitempty"` // customers whose accounts are told, whatever they want
 }
 
 // before reports whether a question was asked before another one.
-func (c Cordons) before(o Cordons) bool {
+func (c CordonRequest) before(o CordonRequest) bool {
 	return cmp.Or(cmp.Compare(c.Epoch, o.Epoch), cmp.Compare(c.Number, o.Number)) < 0
 }
 
@@ -40,12 +40,12 @@
 // runs there ends or moves, so that their instances can be maintained or moved.
 // It returns the batch that carries the newest of these cordons. A question that
 // comes after a later one is refused: what it asks for is not wanted any more.
-func (p *Pool) Cordon(asked Cordons, now time.Time) (uint64, error) {
+func (p *Pool) Cordon(asked CordonRequest, now time.Time) (uint64, error) {
 	if asked.before(p.asked) {
 		return 0, errkind.New(errkind.Conflict, "a later question has come: epoch %d, number %d", p.asked.Epoch, p.asked.Number)
 	}
-	p.asked = Cordons{Epoch: asked.Epoch, Number: asked.Number}
-	p.Over(asked.Over, now)
+	p.asked = CordonRequest{Epoch: asked.Epoch, Number: asked.Number}
+	p.EndIncarnations(asked.Ended, now)
 	newest := uint64(0)
 	wanted := make(map[worker.ID]bool, len(asked.Workers))
 	for _, c := range asked.Workers {
@@ -58,7 +58,7 @@
 		if !p.cordons[id] {
 			p.setCordon(id, true)
 		}
-		if c.Must && w.must.IsZero() {
+		if c.MaintenanceRequired && w.must.IsZero() {
 			w.must = now
 		}
 		newest = max(newest, w.cordonIn)
@@ -98,39 +98,39 @@
 
 // Report is what a pool tells of its workers and of the room it needs.
 type Report struct {
-	Epoch   uint64              `json:"epoch"`
-	Workers []WorkerReport      `json:"workers"`
-	Lasting job.Size            `json:"lasting"`          // of the tasks that last, under way or waiting
-	Running job.Size            `json:"running"`          // of the other runs
-	Rises   bool                `json:"rises,omitempty"`  // what arrives surely rises
-	Arrives job.Size            `json:"arrives"`          // that the jobs of the last moments would keep busy if they went on coming
-	Waiting job.Size            `json:"waiting"`          // of the other tasks that may run and have no room
-	Presses job.Size            `json:"presses"`          // the part of it that is needed for all of them to be in time
-	Overdue job.Size            `json:"overdue"`          // of tasks that may run and whose jobs are of no use any more; they are owed their end
-	Apart   int                 `json:"apart"`            // workers that a step needs since few of its tasks may be on one
-	Slack   time.Duration       `json:"slack"`            // that jobs have when they come, on the mean; 0 where none has come
-	Labels  map[string]job.Size `json:"labels,omitempty"` // of the tasks that need a label, by it; they count here only
-	Quota   quota.Statement     `json:"quota"`
+	Epoch       uint64              `json:"epoch"`
+	Workers     []WorkerReport      `json:"workers"`
+	Lasting     job.Size            `json:"lasting"`          // of the tasks that last, under way or waiting
+	Running     job.Size            `json:"running"`          // of the other runs
+	Rising      bool                `json:"rises,omitempty"`  // what arrives surely rises
+	ArrivalLoad job.Size            `json:"arrives"`          // that the jobs of the last moments would keep busy if they went on coming
+	Waiting     job.Size            `json:"waiting"`          // of the other tasks that may run and have no room
+	Required    job.Size            `json:"presses"`          // the part of it that is needed for all of them to be in time
+	Overdue     job.Size            `json:"overdue"`          // of tasks that may run and whose jobs are of no use any more; they are owed their end
+	MinWorkers  int                 `json:"apart"`            // workers that a step needs since few of its tasks may be on one
+	Slack       time.Duration       `json:"slack"`            // that jobs have when they come, on the mean; 0 where none has come
+	Labels      map[string]job.Size `json:"labels,omitempty"` // of the tasks that need a label, by it; they count here only
+	Quota       quota.Statement     `json:"quota"`
 }
 
 // WorkerReport is what a pool tells of one worker.
 type WorkerReport struct {
-	ID       worker.ID `json:"id"`
-	Instance string    `json:"instance"`
-	Born     int64     `json:"born,omitempty"` // its start, 0 where that is not known
-	Open     bool      `json:"open"`           // tasks may be placed there
-	Empty    bool      `json:"empty"`          // cordoned for good, and nothing runs or begins there
-	Lasting  int       `json:"lasting"`        // runs of tasks that last
-	Runs     int       `json:"runs"`           // all runs
-	Used     job.Size  `json:"used"`
+	ID        worker.ID `json:"id"`
+	Instance  string    `json:"instance"`
+	StartedAt int64     `json:"born,omitempty"` // its start, 0 where that is not known
+	Open      bool      `json:"open"`           // tasks may be placed there
+	Empty     bool      `json:"empty"`          // cordoned for good, and nothing runs or begins there
+	Lasting   int       `json:"lasting"`        // runs of tasks that last
+	Runs      int       `json:"runs"`           // all runs
+	Used      job.Size  `json:"used"`
 }
 
 // Report returns what the pool tells of itself to who has asked.
-func (p *Pool) Report(asked Cordons, now time.Time) Report {
-	r := Report{Epoch: p.Token, Workers: make([]WorkerReport, 0, len(p.workers)), Arrives: p.arrivals.rate(now), Rises: p.arrivals.rise() > 1, Slack: seconds(p.slack.value)}
+func (p *Pool) Report(asked CordonRequest, now time.Time) Report {
+	r := Report{Epoch: p.Token, Workers: make([]WorkerReport, 0, len(p.workers)), ArrivalLoad: p.arrivals.rate(now), Rising: p.arrivals.rise() > 1, Slack: seconds(p.slack.value)}
 	for id, w := range p.workers {
 		o := WorkerReport{
-			ID: id, Instance: w.info.Instance, Born: w.born, Open: w.open(now), Runs: len(w.runs), Used: w.used,
+			ID: id, Instance: w.info.Instance, StartedAt: w.born, Open: w.open(now), Runs: len(w.runs), Used: w.used,
 			Empty: w.cordoned && w.cordonIn <= p.committed && len(w.runs) == 0,
 		}
 		for _, u := range w.runs {
@@ -151,9 +151,9 @@
 	for _, j := range p.active {
 		p.needs(j, now, &r)
 	}
-	r.Quota = p.Statement(quota.Question{Epoch: asked.Epoch, Accounts: asked.Accounts}, now)
+	r.Quota = p.QuotaReport(quota.Question{Epoch: asked.Epoch, Accounts: asked.Accounts}, now)
 	if p.stuck(now) {
-		r.Apart = max(r.Apart, p.openWorkers(now)+1)
+		r.MinWorkers = max(r.MinWorkers, p.openWorkers(now)+1)
 	}
 	return r
 }
@@ -224,10 +224,10 @@
 			s := &j.rounds[n].steps[i]
 			room := s.spec.Room()
 			if s.waiting > 0 && s.spec.Label == "" && (s.spec.Lasting && !p.elsewhere(s, now) || p.barredEverywhere(s, now)) {
-				r.Apart = max(r.Apart, p.openWorkers(now)+1) // another may suit it
+				r.MinWorkers = max(r.MinWorkers, p.openWorkers(now)+1) // another may suit it
 			}
 			if s.spec.PerWorker > 0 && (s.spec.Lasting || s.waiting > 0) {
-				r.Apart = max(r.Apart, (len(s.tasks)-s.done+s.spec.PerWorker-1)/s.spec.PerWorker)
+				r.MinWorkers = max(r.MinWorkers, (len(s.tasks)-s.done+s.spec.PerWorker-1)/s.spec.PerWorker)
 			}
 			switch {
 			case s.spec.Label != "":
@@ -246,7 +246,7 @@
 					continue
 				}
 				r.Waiting = r.Waiting.Plus(waiting)
-				r.Presses = r.Presses.Plus(waiting.Scale(p.pressure(j, s, now)))
+				r.Required = r.Required.Plus(waiting.Scale(p.pressure(j, s, now)))
 			}
 		}
 	}
--- a/services/scheduler/cordon_test.go
+++ b/services/scheduler/cordon_test.go
@@ -22,15 +22,15 @@
 	d.Submit(job.Submission{ID: "1", Queue: "h/q/", Steps: []job.Step{{Count: 2, Size: job.Size{CPU: 1000}, Lasting: true, MayMiss: 1}}}, d.now)
 	d.keep()
 	d.look("w", worker.Listing{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1, Percent: 100}, {Task: "1.0.0.1", Number: 1, Percent: 100}}}, heard)
-	cordon(d, Cordons{Workers: []Cordoned{{ID: "w", Must: true}}})
+	cordon(d, CordonRequest{Workers: []CordonedWorker{{ID: "w", MaintenanceRequired: true}}})
 	d.keep()
-	before := d.Report(Cordons{}, d.now).Apart
+	before := d.Report(CordonRequest{}, d.now).MinWorkers
 	d.now = d.now.Add(mustPatience + time.Second)
 	d.keep()
-	assert.Equal(t, d.Report(Cordons{}, d.now).Apart, before+1)
+	assert.Equal(t, d.Report(CordonRequest{}, d.now).MinWorkers, before+1)
 }
 
-func cordon(d *desk, asked Cordons) {
+func cordon(d *desk, asked CordonRequest) {
 	d.t.Helper()
 	_, err := d.Cordon(asked, d.now)
 	assert.NilError(d.t, err)
@@ -40,10 +40,10 @@
 // one another, and one of a replaced holder may come late. What an earlier one asks
 // for is not wanted any more: the worker is about to be moved.
 func TestALateQuestionChangesNoCordon(t *testing.T) {
-	for _, late := range []Cordons{{Epoch: 2, Number: 4}, {Epoch: 1, Number: 9}} {
+	for _, late := range []CordonRequest{{Epoch: 2, Number: 4}, {Epoch: 1, Number: 9}} {
 		d := newDesk(t, 1)
 		d.serve()
-		cordon(d, Cordons{Epoch: 2, Number: 5, Workers: []Cordoned{{ID: "w"}}})
+		cordon(d, CordonRequest{Epoch: 2, Number: 5, Workers: []CordonedWorker{{ID: "w"}}})
 		_, err := d.Cordon(late, d.now)
 		assert.Assert(t, errkind.Is(err, errkind.Conflict), "%v", err)
 		assert.Assert(t, d.workers["w"].cordoned, "%+v", late)
--- a/services/scheduler/crash.go
+++ b/services/scheduler/crash.go
@@ -331,7 +331,7 @@
 
 // count adds one to a counter.
 func (p *Pool) count(counter string) {
-	if p.Count != nil {
-		p.Count(counter)
+	if p.Increment != nil {
+		p.Increment(counter)
 	}
 }
--- a/services/scheduler/crash_test.go
+++ b/services/scheduler/crash_test.go
@@ -22,7 +22,7 @@
 func (d *desk) life(instance string, n int) worker.ID {
 	d.t.Helper()
 	id := worker.ID(fmt.Sprintf("%s-%d", instance, n))
-	d.See(worker.Worker{ID: id, Instance: instance, Pool: "p", Address: instance, Capacity: job.Size{CPU: 4000, MemoryMB: 4000}})
+	d.UpdateWorker(worker.Worker{ID: id, Instance: instance, Pool: "p", Address: instance, Capacity: job.Size{CPU: 4000, MemoryMB: 4000}})
 	d.look(id, worker.Listing{}, heard)
 	return id
 }
@@ -39,10 +39,10 @@
 			return begun
 		}
 		if order.starts() {
-			d.Start(order, d.now)
+			d.StartOrder(order, d.now)
 			begun = append(begun, order.Run.name)
 		}
-		d.Answered(order, heard, d.now)
+		d.HandleOrderResponse(order, heard, d.now)
 	}
 }
 
@@ -58,7 +58,7 @@
 	d.t.Helper()
 	d.look(id, worker.Listing{}, port.Answer{Verdict: port.Unknown})
 	d.now = d.now.Add(10 * time.Second)
-	d.Lapse(d.now)
+	d.ExpireLeases(d.now)
 }
 
 // state keeps what has changed and returns what a caller is told.
@@ -154,17 +154,17 @@
 		"cut off": func(d *desk, id worker.ID) {
 			d.cutOff(id)
 			d.look(id, worker.Listing{}, heard)
-			d.Over([]worker.Life{{ID: id}}, d.now) // so that the next turn is another's
+			d.EndIncarnations([]worker.Life{{ID: id}}, d.now) // so that the next turn is another's
 		},
-		"order": func(d *desk, id worker.ID) { d.Over([]worker.Life{{ID: id}}, d.now) },
+		"order": func(d *desk, id worker.ID) { d.EndIncarnations([]worker.Life{{ID: id}}, d.now) },
 		"drains": func(d *desk, id worker.ID) {
 			leaving, _ := d.Worker(id)
 			leaving.Draining = true
-			d.See(leaving)
+			d.UpdateWorker(leaving)
 			d.crash(id)
 		},
 		"leaves": func(d *desk, id worker.ID) {
-			d.Miss(id)
+			d.UnlistWorker(id)
 			d.look(id, worker.Listing{Runs: []worker.Run{{Task: "1.0.0.0", Number: d.firstTask("1").number}}}, heard)
 			d.crash(id)
 		},
@@ -271,7 +271,7 @@
 	a := d.life("a", 1)
 	d.beginAll(a)
 	d.finish(d.jobs["1"], job.Failed, d.now, "test")
-	d.now = d.now.Add(testLimits.Keep)
+	d.now = d.now.Add(testLimits.Retention)
 	d.keep()
 	_, stops := d.orders(a)
 	assert.Equal(t, stops, 1)
@@ -299,12 +299,12 @@
 			if !has {
 				break
 			}
-			d.Start(o, d.now)
+			d.StartOrder(o, d.now)
 			orders = append(orders, o)
 		}
 		assert.Equal(t, len(orders), 2)
 		for _, o := range orders {
-			d.Answered(o, otherLife, d.now)
+			d.HandleOrderResponse(o, otherLife, d.now)
 		}
 		for _, o := range orders {
 			assert.Equal(t, len(o.Run.task().crashes), 0, "life %d", n)
@@ -321,9 +321,9 @@
 	id := d.life("a", 1)
 	d.keep()
 	o, _ := d.NextOrder(id, d.now)
-	d.Start(o, d.now)
-	assert.Assert(t, d.Answered(o, port.Answer{Verdict: port.Unknown}, d.now))
-	d.Answered(o, otherLife, d.now)
+	d.StartOrder(o, d.now)
+	assert.Assert(t, d.HandleOrderResponse(o, port.Answer{Verdict: port.Unknown}, d.now))
+	d.HandleOrderResponse(o, otherLife, d.now)
 	assert.Equal(t, len(o.Run.task().crashes), 1)
 }
 
@@ -364,8 +364,8 @@
 	b := d.life("b", 1)
 	d.keep()
 	o, _ := d.NextOrder(b, d.now)
-	d.Start(o, d.now)
-	assert.Assert(t, d.Answered(o, port.Answer{Verdict: port.Unknown}, d.now))
+	d.StartOrder(o, d.now)
+	assert.Assert(t, d.HandleOrderResponse(o, port.Answer{Verdict: port.Unknown}, d.now))
 	d.crash(b)
 	assert.Equal(t, len(d.firstTask("1").crashes), 2)
 	assert.Equal(t, d.state("1"), job.Running)
--- a/services/scheduler/fair_test.go
+++ b/services/scheduler/fair_test.go
@@ -31,7 +31,7 @@
 
 // fullPool returns a pool in which 3,000 tasks wait, and when it is.
 func fullPool(customers int) (*Pool, time.Time) {
-	p := New("p", 1, Limits{Lease: time.Hour, StopTime: time.Second, Keep: time.Hour}, log.Nop())
+	p := New("p", 1, Limits{Lease: time.Hour, StopTime: time.Second, Retention: time.Hour}, log.Nop())
 	var list []config.Customer
 	for i := range customers {
 		list = append(list, config.Customer{Name: fmt.Sprint("c", i), Limit: job.Size{CPU: 1 << 30}})
--- a/services/scheduler/gang_test.go
+++ b/services/scheduler/gang_test.go
@@ -19,7 +19,7 @@
 func gangOnTwo(t *testing.T) *desk {
 	d := newDesk(t, 1)
 	for _, id := range []worker.ID{"a", "b"} {
-		d.See(worker.Worker{ID: id, Instance: string(id), Pool: "p", Address: string(id), Capacity: job.Size{CPU: 1000, MemoryMB: 4000}})
+		d.UpdateWorker(worker.Worker{ID: id, Instance: string(id), Pool: "p", Address: string(id), Capacity: job.Size{CPU: 1000, MemoryMB: 4000}})
 		d.look(id, worker.Listing{}, heard)
 	}
 	d.Submit(job.Submission{ID: "1", Queue: "h/q/", Steps: []job.Step{
@@ -42,9 +42,9 @@
 		}
 		if !order.Stop {
 			starts++
-			d.Start(order, d.now)
+			d.StartOrder(order, d.now)
 		}
-		d.Answered(order, heard, d.now)
+		d.HandleOrderResponse(order, heard, d.now)
 	}
 }
 
@@ -65,7 +65,7 @@
 // own doing.
 func TestGangOfWhichAWorkerIsCordoned(t *testing.T) {
 	d := gangOnTwo(t)
-	cordon(d, Cordons{Workers: []Cordoned{{ID: "b"}}})
+	cordon(d, CordonRequest{Workers: []CordonedWorker{{ID: "b"}}})
 	d.begin("a")
 	d.begin("b")
 	d.keep()
@@ -80,7 +80,7 @@
 	assert.Equal(t, d.begin("a"), 1)
 	leaving := d.workers["b"].info
 	leaving.Draining = true
-	d.See(leaving)
+	d.UpdateWorker(leaving)
 	assert.Equal(t, d.begin("b"), 0)
 	d.keep()
 	d.begin("a")
@@ -116,8 +116,8 @@
 	assert.Equal(t, d.begin("a"), 1)
 	order, has := d.NextOrder("b", d.now)
 	assert.Assert(t, has)
-	d.Start(order, d.now)
-	assert.Assert(t, !d.Answered(order, port.Answer{Verdict: port.NoRoom, Clock: heard.Clock}, d.now))
+	d.StartOrder(order, d.now)
+	assert.Assert(t, !d.HandleOrderResponse(order, port.Answer{Verdict: port.NoRoom, Clock: heard.Clock}, d.now))
 	d.keep()
 	assert.Assert(t, !d.goesOn("a"), "a member of a gang waits for one that was refused")
 }
--- a/services/scheduler/gangdone_test.go
+++ b/services/scheduler/gangdone_test.go
@@ -18,15 +18,15 @@
 func TestDoneOfOneMemberStandsForItsGang(t *testing.T) {
 	d := newDesk(t, 1)
 	d.serve()
-	d.See(worker.Worker{ID: "v", Instance: "j", Pool: "p", Address: "b", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}})
+	d.UpdateWorker(worker.Worker{ID: "v", Instance: "j", Pool: "p", Address: "b", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}})
 	d.look("v", worker.Listing{}, heard)
 	d.Submit(job.Submission{ID: "1", Queue: "h/q/", Steps: []job.Step{{Count: 2, Size: job.Size{CPU: 3000}, Estimate: time.Second, Gang: true}}}, d.now)
 	d.keep()
 	for _, w := range []worker.ID{"v", "w"} {
 		order, has := d.NextOrder(w, d.now)
 		assert.Assert(t, has)
-		d.Start(order, d.now)
-		d.Answered(order, heard, d.now)
+		d.StartOrder(order, d.now)
+		d.HandleOrderResponse(order, heard, d.now)
 	}
 	d.now = d.now.Add(time.Second)
 	for _, r := range d.jobs["1"].runs() {
@@ -35,9 +35,9 @@
 		}
 	}
 	d.keep()
-	d.See(worker.Worker{ID: "v2", Instance: "j", Pool: "p", Address: "b", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}})
+	d.UpdateWorker(worker.Worker{ID: "v2", Instance: "j", Pool: "p", Address: "b", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}})
 	d.now = d.now.Add(10 * time.Second)
-	d.Lapse(d.now)
+	d.ExpireLeases(d.now)
 	d.look("v2", worker.Listing{}, heard)
 	d.look("w", worker.Listing{}, heard)
 	d.keep()
--- a/services/scheduler/job.go
+++ b/services/scheduler/job.go
@@ -179,9 +179,9 @@
 	return p.batch
 }
 
-// Check returns an error where a job is not known, or is not one that a customer, "" for
+// CheckAccess returns an error where a job is not known, or is not one that a customer, "" for
 // none, may see.
-func (p *Pool) Check(id job.ID, by string) error {
+func (p *Pool) CheckAccess(id job.ID, by string) error {
 	j := p.jobs[id]
 	if j == nil {
 		return errkind.New(errkind.Gone, "no job %s", id)
@@ -195,8 +195,8 @@
 // Has reports whether a job is known.
 func (p *Pool) Has(id job.ID) bool { return p.jobs[id] != nil }
 
-// Kept reports whether a job is known and kept for good.
-func (p *Pool) Kept(id job.ID) bool {
+// Persisted reports whether a job is known and kept for good.
+func (p *Pool) Persisted(id job.ID) bool {
 	j := p.jobs[id]
 	return j != nil && (j.stored || j.state.Final())
 }
@@ -272,7 +272,7 @@
 		}
 	}
 	p.touch(j)
-	p.ended = append(p.ended, endedJob{j.sub.ID, now.Add(p.Limits.Keep)})
+	p.ended = append(p.ended, endedJob{j.sub.ID, now.Add(p.Limits.Retention)})
 	p.moved = true
 	p.forgetBlame()
 	p.Logger.Info().Str("event", "job-end").Str("job", string(j.sub.ID)).Str("queue", j.sub.Queue).Str("outcome", string(state)).
--- a/services/scheduler/lateend_test.go
+++ b/services/scheduler/lateend_test.go
@@ -23,11 +23,11 @@
 	d.keep()
 	order, has := d.NextOrder("w", d.now)
 	assert.Assert(t, has)
-	d.Start(order, d.now)
-	d.Answered(order, heard, d.now)
+	d.StartOrder(order, d.now)
+	d.HandleOrderResponse(order, heard, d.now)
 	d.look("w", worker.Listing{}, port.Answer{Verdict: port.Unknown})
 	d.now = d.now.Add(10 * time.Second)
-	d.Lapse(d.now)
+	d.ExpireLeases(d.now)
 	assert.Equal(t, d.waitingTasks("1"), 1)
 	return d
 }
@@ -55,7 +55,7 @@
 // begins.
 func TestALostRunThatWasDoneWhileAnotherIsPlanned(t *testing.T) {
 	d := lostOne(t)
-	d.See(worker.Worker{ID: "v", Instance: "j", Pool: "p", Address: "b", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}})
+	d.UpdateWorker(worker.Worker{ID: "v", Instance: "j", Pool: "p", Address: "b", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}})
 	d.look("v", worker.Listing{}, heard)
 	d.keep() // run 2 is kept, and its order waits
 	d.ended(worker.Done)
--- a/services/scheduler/leave_test.go
+++ b/services/scheduler/leave_test.go
@@ -19,7 +19,7 @@
 func lastingOnTwo(t *testing.T) *desk {
 	d := newDesk(t, 1)
 	for _, id := range []worker.ID{"a", "b", "c"} {
-		d.See(worker.Worker{ID: id, Instance: string(id), Pool: "p", Address: string(id), Capacity: job.Size{CPU: 1000, MemoryMB: 4000}})
+		d.UpdateWorker(worker.Worker{ID: id, Instance: string(id), Pool: "p", Address: string(id), Capacity: job.Size{CPU: 1000, MemoryMB: 4000}})
 		d.look(id, worker.Listing{}, heard)
 	}
 	d.Submit(job.Submission{ID: "1", Queue: "h/q/", Steps: []job.Step{
@@ -67,23 +67,23 @@
 	if u == nil {
 		t.Fatal("no task was placed on the worker a")
 	}
-	cordon(d, Cordons{Workers: []Cordoned{{ID: "a"}}})
+	cordon(d, CordonRequest{Workers: []CordonedWorker{{ID: "a"}}})
 	d.keep()
 	order, has := d.NextOrder("a", d.now)
 	assert.Assert(t, has && order.Stop)
-	assert.Assert(t, d.Answered(order, port.Answer{Verdict: port.Unknown}, d.now))
-	d.Again(order, d.now)
+	assert.Assert(t, d.HandleOrderResponse(order, port.Answer{Verdict: port.Unknown}, d.now))
+	d.Retry(order, d.now)
 
 	leaving := d.workers[other].info
 	leaving.Draining = true
-	d.See(leaving)
+	d.UpdateWorker(leaving)
 	d.keep()
 	_, has = d.NextOrder("a", d.now)
 	assert.Assert(t, !has, "a task is stopped for a move while another of its step goes")
 
 	order, has = d.NextOrder(other, d.now)
 	assert.Assert(t, has && order.Stop)
-	d.Answered(order, heard, d.now)
+	d.HandleOrderResponse(order, heard, d.now)
 	ended := worker.Listing{Ends: []worker.End{{Sequence: 1, Task: order.Run.name, Number: 1, How: worker.Stopped}}}
 	d.look(other, ended, heard)
 	d.keep()
@@ -102,14 +102,14 @@
 func TestAStopOfACancelledJobWaitsForNothing(t *testing.T) {
 	d := lastingOnTwo(t)
 	_, other := d.onA()
-	cordon(d, Cordons{Workers: []Cordoned{{ID: "a"}}})
+	cordon(d, CordonRequest{Workers: []CordonedWorker{{ID: "a"}}})
 	d.keep()
 	order, _ := d.NextOrder("a", d.now)
-	d.Answered(order, port.Answer{Verdict: port.Unknown}, d.now)
-	d.Again(order, d.now)
+	d.HandleOrderResponse(order, port.Answer{Verdict: port.Unknown}, d.now)
+	d.Retry(order, d.now)
 	leaving := d.workers[other].info
 	leaving.Draining = true
-	d.See(leaving)
+	d.UpdateWorker(leaving)
 	d.keep()
 	_, err := d.Cancel("1", d.now)
 	assert.NilError(t, err)
--- a/services/scheduler/look.go
+++ b/services/scheduler/look.go
@@ -12,8 +12,8 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// Look is a look at a worker that is under way.
-type Look struct {
+// Poll is a look at a worker that is under way.
+type Poll struct {
 	worker *workerState
 	stamp  uint64
 	ask    port.Look
@@ -22,12 +22,12 @@
 	raised uint64        // part of its token
 }
 
-// BeginLook returns the look to send to a worker, and false where the worker is
+// BeginPoll returns the look to send to a worker, and false where the worker is
 // not known any more.
-func (p *Pool) BeginLook(id worker.ID, wait time.Duration, now time.Time) (Look, port.Look, bool) {
+func (p *Pool) BeginPoll(id worker.ID, wait time.Duration, now time.Time) (Poll, port.Look, bool) {
 	w := p.workers[id]
 	if w == nil {
-		return Look{}, port.Look{}, false
+		return Poll{}, port.Look{}, false
 	}
 	p.stamp++
 	w.wantLook = false
@@ -46,11 +46,11 @@
 	if max(ask.Seen, w.told) < w.seen || w.unproven {
 		ask.Wait = 0 // it would answer at once with ends that are known, or has to
 	}
-	return Look{w, p.stamp, ask, now, before, w.raised}, ask, true
+	return Poll{w, p.stamp, ask, now, before, w.raised}, ask, true
 }
 
-// EndLook takes the answer to a look.
-func (p *Pool) EndLook(k Look, listing worker.Listing, a port.Answer, now time.Time) {
+// EndPoll takes the answer to a look.
+func (p *Pool) EndPoll(k Poll, listing worker.Listing, a port.Answer, now time.Time) {
 	w := k.worker
 	if p.workers[w.info.ID] != w {
 		return
@@ -118,7 +118,7 @@
 func (p *Pool) meet(w *workerState, born int64) {
 	lease := p.Limits.Lease
 	if w.born > 0 {
-		lease = max(lease, p.Limits.LeaseMost)
+		lease = max(lease, p.Limits.MaxLease)
 	}
 	w.born = born
 	w.deadline = max(w.deadline, w.clock+lease)
@@ -153,7 +153,7 @@
 }
 
 // list takes what a worker runs and what has ended there.
-func (p *Pool) list(w *workerState, k Look, listing worker.Listing, now time.Time) {
+func (p *Pool) list(w *workerState, k Poll, listing worker.Listing, now time.Time) {
 	for _, e := range listing.Ends {
 		if e.Sequence <= w.seen {
 			continue
@@ -207,7 +207,7 @@
 
 // vanished reports whether a run that a look did not list has ended: its worker
 // has said that it runs, or cannot begin it any more, before the look was sent.
-func (p *Pool) vanished(u *run, k Look) bool {
+func (p *Pool) vanished(u *run, k Poll) bool {
 	switch {
 	case u.phase == planned:
 		return false
--- a/services/scheduler/order.go
+++ b/services/scheduler/order.go
@@ -11,16 +11,16 @@
 
 // Order is an order to a worker about a run.
 type Order struct {
-	Run  *run
-	Stop bool
-	Pace bool
+	Run      *run
+	Stop     bool
+	CPUShare bool
 
 	raised uint64 // part of its token, once it is given
 }
 
-// Start notes that the order to begin a run is sent, and returns it, with a
+// StartOrder notes that the order to begin a run is sent, and returns it, with a
 // deadline on the worker's clock.
-func (p *Pool) Start(o Order, now time.Time) port.Start {
+func (p *Pool) StartOrder(o Order, now time.Time) port.Start {
 	u := o.Run
 	u.sent = true
 	u.sentAt = now
@@ -32,7 +32,7 @@
 }
 
 // starts reports whether an order is to begin its run.
-func (o Order) starts() bool { return !o.Stop && !o.Pace }
+func (o Order) starts() bool { return !o.Stop && !o.CPUShare }
 
 // Valid reports whether an order still is to be given.
 func (o Order) Valid() bool {
@@ -41,7 +41,7 @@
 		return false
 	case o.Stop:
 		return !o.Run.stopped
-	case o.Pace:
+	case o.CPUShare:
 		return o.Run.phase == running && !o.Run.stopping
 	}
 	return o.Run.phase == ordered && !o.Run.stopping // a stop also prevents a start that comes later
@@ -52,7 +52,7 @@
 	return port.Stop{Task: o.Run.name, Number: o.Run.number, Token: p.token(o.Run.at)}
 }
 
-// PaceOrder returns the order to let the run work at its share.
-func (p *Pool) PaceOrder(o Order) port.Pace {
+// CPUShareOrder returns the order to let the run work at its share.
+func (p *Pool) CPUShareOrder(o Order) port.Pace {
 	return port.Pace{Task: o.Run.name, Number: o.Run.number, Percent: o.Run.pace, Token: p.token(o.Run.at)}
 }
--- a/services/scheduler/orders.go
+++ b/services/scheduler/orders.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// Attention returns the workers that orders were queued for, or that are to be
+// PendingWorkers returns the workers that orders were queued for, or that are to be
 // looked at, since it was last asked for.
-func (p *Pool) Attention() []worker.ID {
+func (p *Pool) PendingWorkers() []worker.ID {
 	ids := p.out
 	p.out = nil
 	for _, id := range ids {
@@ -90,11 +90,11 @@
 	return w != nil && w.silent.IsZero() && !w.unproven && len(w.out) > 0
 }
 
-// Again queues an order once more that got no answer. One order without an answer
+// Retry queues an order once more that got no answer. One order without an answer
 // says little of its worker: nothing new is placed there until something is heard
 // of it. Where nothing is before the next order gets no answer, it counts as silent
 // until it has answered a look.
-func (p *Pool) Again(o Order, now time.Time) {
+func (p *Pool) Retry(o Order, now time.Time) {
 	w := o.Run.at
 	if p.workers[w.info.ID] != w {
 		return
@@ -122,9 +122,9 @@
 	waitLong   = time.Second            // the longest wait while only tasks run that last
 )
 
-// NextLook returns when to look at a worker next and how long that look waits
+// NextPoll returns when to look at a worker next and how long that look waits
 // for an end; false where there is nothing to look for.
-func (p *Pool) NextLook(id worker.ID) (time.Time, time.Duration, bool) {
+func (p *Pool) NextPoll(id worker.ID) (time.Time, time.Duration, bool) {
 	w := p.workers[id]
 	switch {
 	case w == nil:
--- a/services/scheduler/overload.go
+++ b/services/scheduler/overload.go
@@ -91,10 +91,10 @@
 	return !now.After(j.latest) || j.began && !now.After(j.lastChance())
 }
 
-// Full returns for how long a job that comes now would have to wait beyond what it can
+// ExcessWait returns for how long a job that comes now would have to wait beyond what it can
 // and still be in time, 0 where it may be taken. Only an overloaded pool is full: what waits
 // in a rush is done by instances that are yet to come.
-func (p *Pool) Full(s job.Submission, now time.Time) time.Duration {
+func (p *Pool) ExcessWait(s job.Submission, now time.Time) time.Duration {
 	if !p.overloaded || p.Has(s.ID) || s.Lasts() || s.Times > 0 {
 		return 0
 	}
--- a/services/scheduler/plan.go
+++ b/services/scheduler/plan.go
@@ -34,7 +34,7 @@
 // Plan begins runs of tasks that wait, as far as there is room. It returns when
 // to plan again though nothing changes, the zero time for never.
 func (p *Pool) Plan(now time.Time) time.Time {
-	p.Lapse(now)
+	p.ExpireLeases(now)
 	p.withholdAll(now)
 	p.forget(now)
 	p.leave(now)
@@ -43,7 +43,7 @@
 	}
 	p.moved, p.wake = false, time.Time{}
 	p.reserved, p.reservedFor = nil, nil
-	p.Lapse(now)
+	p.ExpireLeases(now)
 	p.withholdAll(now)
 	p.sweep()
 	p.averageUse(now)
--- a/services/scheduler/pool.go
+++ b/services/scheduler/pool.go
@@ -15,11 +15,11 @@
 
 // Limits are the bounds under which a pool is scheduled.
 type Limits struct {
-	Lease     time.Duration // of what runs on a worker, from each look at it
-	LeaseMost time.Duration // the longest that a worker adopts
-	StopTime  time.Duration // the most that a stop takes
-	Keep      time.Duration // how long the state of an ended job is told
-	FarTimes  float64       // how much longer a task takes away from its data
+	Lease        time.Duration // of what runs on a worker, from each look at it
+	MaxLease     time.Duration // the longest that a worker adopts
+	StopTime     time.Duration // the most that a stop takes
+	Retention    time.Duration // how long the state of an ended job is told
+	RemoteFactor float64       // how much longer a task takes away from its data
 }
 
 // Pool is the state of one pool; it is not safe for concurrent use.
@@ -33,8 +33,8 @@
 	Isolated bool
 	// Clock tells which time of day it is at the times that the pool is told.
 	Clock clock.Clock
-	// Count adds one to a counter, nil for none.
-	Count func(counter string)
+	// Increment adds one to a counter, nil for none.
+	Increment func(counter string)
 
 	config    *config.Config
 	jobs      map[job.ID]*jobState
@@ -42,7 +42,7 @@
 	workers   map[worker.ID]*workerState
 	cordons   map[worker.ID]bool // that are kept or in the batch that is being filled
 	recordons []worker.ID        // whose cordon has changed since the last batch
-	asked     Cordons            // the newest question that came, without its lists
+	asked     CordonRequest      // the newest question that came, without its lists
 	times     map[string]*trend  // what run times are to estimates, by queue
 	images    map[string]*mean   // run times in seconds, by image
 
--- a/services/scheduler/record.go
+++ b/services/scheduler/record.go
@@ -292,7 +292,7 @@
 	p.jobs[s.ID] = j
 	if d.State.Final() {
 		j.endedAt = p.Clock.At(time.UnixMilli(d.Ended))
-		p.ended = append(p.ended, endedJob{s.ID, now.Add(p.Limits.Keep)})
+		p.ended = append(p.ended, endedJob{s.ID, now.Add(p.Limits.Retention)})
 	} else {
 		p.active = append(p.active, j)
 	}
--- a/services/scheduler/restart.go
+++ b/services/scheduler/restart.go
@@ -62,7 +62,7 @@
 
 // restarted takes the list of another start than the one that has answered last. It returns
 // the state of the worker to go on with, nil where the worker must be looked at once more.
-func (p *Pool) restarted(w *workerState, k Look, listing worker.Listing, now time.Time) *workerState {
+func (p *Pool) restarted(w *workerState, k Poll, listing worker.Listing, now time.Time) *workerState {
 	if w.met && !(w.unproven && k.raised >= w.since) {
 		p.suspectRestart(w)
 		return nil
@@ -120,9 +120,9 @@
 	}
 }
 
-// Relink returns the workers that have started again, or have another address, since it was
+// WorkersToReconnect returns the workers that have started again, or have another address, since it was
 // last asked for: what they are reached through is of no use any more.
-func (p *Pool) Relink() []worker.ID {
+func (p *Pool) WorkersToReconnect() []worker.ID {
 	ids := p.relink
 	p.relink = nil
 	return ids
--- a/services/scheduler/restart_test.go
+++ b/services/scheduler/restart_test.go
@@ -23,7 +23,7 @@
 // serveAs lists the worker "w" and has one of its starts answer a look.
 func (d *desk) serveAs(born int64) {
 	d.t.Helper()
-	d.See(restartable(born))
+	d.UpdateWorker(restartable(born))
 	d.answer(born)
 }
 
@@ -50,7 +50,7 @@
 	d.keep()
 	order, has := d.NextOrder("w", d.now)
 	assert.Assert(d.t, has)
-	d.Start(order, d.now)
+	d.StartOrder(order, d.now)
 	return order
 }
 
@@ -61,7 +61,7 @@
 	d := newDesk(t, 1)
 	d.serveAs(1000)
 	d.submit("1", 1)
-	d.Answered(d.give(), heard, d.now)
+	d.HandleOrderResponse(d.give(), heard, d.now)
 	return d
 }
 
@@ -75,7 +75,7 @@
 			d.keep()
 			d.answer(born)
 			d.submit("2", 1)
-			d.Answered(d.give(), heard, d.now)
+			d.HandleOrderResponse(d.give(), heard, d.now)
 			d.answer(born, worker.End{Sequence: 1, Task: "2.0.0.0", Number: 1, How: worker.Done})
 			assert.Equal(t, d.state("2"), job.Completed)
 			starts, _ := d.orders("w")
@@ -92,7 +92,7 @@
 	d.submit("1", 1)
 	for n := range 3 {
 		d.now = d.now.Add(time.Minute)
-		d.Answered(d.give(), heard, d.now)
+		d.HandleOrderResponse(d.give(), heard, d.now)
 		d.answer(int64(1000+n), worker.End{Sequence: 1, Task: "1.0.0.0", Number: n + 1, How: worker.Failed})
 		d.keep()
 		d.answer(int64(1001 + n))
@@ -105,8 +105,8 @@
 // the worker has not listed its runs for so long that a run of another start may have ended.
 func TestEndsAreForgottenByTheStartThatListedThem(t *testing.T) {
 	seen := func(d *desk) int {
-		k, ask, _ := d.BeginLook("w", 0, d.now)
-		d.EndLook(k, worker.Listing{Born: 1000, Runs: []worker.Run{{Task: "1.0.0.1", Number: 1}}}, heard, d.now)
+		k, ask, _ := d.BeginPoll("w", 0, d.now)
+		d.EndPoll(k, worker.Listing{Born: 1000, Runs: []worker.Run{{Task: "1.0.0.1", Number: 1}}}, heard, d.now)
 		return ask.Seen
 	}
 	d := newDesk(t, 1)
@@ -138,10 +138,10 @@
 	d.look("w", worker.Listing{Born: 2000}, heard)
 	starts, _ := d.orders("w")
 	assert.Equal(t, starts, 0)
-	k, ask, _ := d.BeginLook("w", time.Second, d.now)
+	k, ask, _ := d.BeginPoll("w", time.Second, d.now)
 	assert.Assert(t, ask.Token > token && ask.Deadline == 0 && ask.Wait == 0 && ask.Seen == 0, "%+v", ask)
-	d.EndLook(k, worker.Listing{Born: 2000}, heard, d.now)
-	d.Answered(before, port.Answer{Verdict: port.TooLow, Clock: time.Hour}, d.now)
+	d.EndPoll(k, worker.Listing{Born: 2000}, heard, d.now)
+	d.HandleOrderResponse(before, port.Answer{Verdict: port.TooLow, Clock: time.Hour}, d.now)
 	assert.Assert(t, d.workers["w"].clock < time.Hour, "the clock of a start is not that of the one before")
 	d.keep()
 	starts, _ = d.orders("w")
@@ -169,8 +169,8 @@
 	d.submit("1", 1)
 	order := d.give()
 	token := d.token(order.Run.at)
-	assert.Assert(t, d.Answered(order, port.Answer{Verdict: port.Unknown}, d.now))
-	d.Again(order, d.now)
+	assert.Assert(t, d.HandleOrderResponse(order, port.Answer{Verdict: port.Unknown}, d.now))
+	d.Retry(order, d.now)
 	assert.Assert(t, d.token(order.Run.at) > token)
 }
 
@@ -220,7 +220,7 @@
 	stop, has := d.NextOrder("w", d.now)
 	assert.Assert(t, has && stop.Stop)
 	d.raise(stop.Run.at)
-	assert.Assert(t, !d.Answered(stop, port.Answer{Verdict: port.TooLow}, d.now))
+	assert.Assert(t, !d.HandleOrderResponse(stop, port.Answer{Verdict: port.TooLow}, d.now))
 	_, stops := d.orders("w")
 	assert.Equal(t, stops, 1)
 }
@@ -233,14 +233,14 @@
 	d.answer(2000)
 	old := restartable(500)
 	old.Draining, old.Address, old.Capacity = true, "b", job.Size{CPU: 1}
-	d.See(old)
+	d.UpdateWorker(old)
 	assert.Assert(t, !d.workers["w"].open(d.now))
-	assert.DeepEqual(t, d.Attention(), []worker.ID{"w"})
+	assert.DeepEqual(t, d.PendingWorkers(), []worker.ID{"w"})
 	d.answer(2000)
 	assert.Assert(t, d.workers["w"].open(d.now))
-	d.See(old)
+	d.UpdateWorker(old)
 	assert.Assert(t, d.workers["w"].open(d.now), "it was looked at for that start before")
-	d.See(worker.Worker{ID: "w", Pool: "p"})
+	d.UpdateWorker(worker.Worker{ID: "w", Pool: "p"})
 	assert.Equal(t, d.workers["w"].info.Address, "a", "an entry without a start where others had one")
 }
 
@@ -249,18 +249,18 @@
 func TestAnEntryOfTheNextStartIsUsedOnceThatAnswers(t *testing.T) {
 	d := newDesk(t, 1)
 	d.serveAs(1000)
-	d.Relink()
+	d.WorkersToReconnect()
 	next := restartable(2000)
 	next.Address, next.Capacity = "b", job.Size{CPU: 1000}
-	d.See(next)
+	d.UpdateWorker(next)
 	assert.Equal(t, d.workers["w"].info.Address, "a")
 	d.answer(2000)
 	w, _ := d.Worker("w")
 	assert.Assert(t, w.Address == "b" && w.Capacity == next.Capacity, "%+v", w)
-	assert.DeepEqual(t, d.Relink(), []worker.ID{"w"})
+	assert.DeepEqual(t, d.WorkersToReconnect(), []worker.ID{"w"})
 	next.Address = "c"
-	d.See(next)
-	assert.DeepEqual(t, d.Relink(), []worker.ID{"w"})
+	d.UpdateWorker(next)
+	assert.DeepEqual(t, d.WorkersToReconnect(), []worker.ID{"w"})
 }
 
 // TestTheNextStartIsReachedAtItsOwnAddress guards against a worker that is never reached again: its
@@ -269,13 +269,13 @@
 func TestTheNextStartIsReachedAtItsOwnAddress(t *testing.T) {
 	d := newDeskWithRun(t)
 	at := func() string {
-		d.Relink()
+		d.WorkersToReconnect()
 		w, _ := d.Worker("w")
 		return w.Address
 	}
 	next := restartable(2000)
 	next.Address = "b"
-	d.See(next)
+	d.UpdateWorker(next)
 	assert.Equal(t, at(), "b")
 	d.look("w", worker.Listing{}, port.Answer{Verdict: port.Unreached})
 	assert.Equal(t, at(), "a")
@@ -285,7 +285,7 @@
 	assert.Equal(t, at(), "a")
 	assert.Equal(t, d.waitingTasks("1"), 0, "another worker ends no run")
 	next.Born = 3000
-	d.See(next)
+	d.UpdateWorker(next)
 	d.answer(3000)
 	assert.Equal(t, at(), "b")
 	assert.Equal(t, d.waitingTasks("1"), 1)
@@ -297,10 +297,10 @@
 func TestAWorkerThatIsListedAgainIsNotForgotten(t *testing.T) {
 	d := newDeskWithRun(t)
 	d.look("w", worker.Listing{}, port.Answer{Verdict: port.Unknown})
-	d.Miss("w")
-	d.See(restartable(2000))
+	d.UnlistWorker("w")
+	d.UpdateWorker(restartable(2000))
 	d.now = d.now.Add(time.Minute)
-	d.Lapse(d.now)
+	d.ExpireLeases(d.now)
 	d.answer(2000)
 	assert.Assert(t, d.workers["w"].open(d.now))
 }
@@ -323,10 +323,10 @@
 	d.jobs["1"].queue.Advice = &config.Advice{Valid: time.Hour}
 	d.Plan(d.now)
 	s := &d.jobs["1"].rounds[0].steps[0]
-	q, has := d.NextQuestion(d.now)
+	q, has := d.NextAdviceRequest(d.now)
 	assert.Assert(t, has)
 	d.answer(2000)
-	d.Advised(q, []port.Ticket{{Worker: "w", Text: "t"}}, nil, d.now)
+	d.HandleAdvice(q, []port.Ticket{{Worker: "w", Text: "t"}}, nil, d.now)
 	assert.Assert(t, !s.admits(d.workers["w"], d.now))
 }
 
@@ -338,7 +338,7 @@
 	d.submit("1", 1)
 	for n := range 2 {
 		d.now = d.now.Add(10 * time.Second)
-		d.Answered(d.give(), heard, d.now)
+		d.HandleOrderResponse(d.give(), heard, d.now)
 		d.answer(int64(1001 + n))
 		d.answer(int64(1001 + n))
 		assert.Equal(t, len(d.firstTask("1").crashes), n+1)
@@ -355,7 +355,7 @@
 	order := d.give()
 	d.answer(2000)
 	assert.Equal(t, len(d.firstTask("1").crashes), 1)
-	d.Answered(order, port.Answer{Verdict: port.TooLow}, d.now)
+	d.HandleOrderResponse(order, port.Answer{Verdict: port.TooLow}, d.now)
 	assert.Equal(t, len(d.firstTask("1").crashes), 0)
 }
 
@@ -366,7 +366,7 @@
 		for name, listed := range map[string]bool{"listed": true, "listed no longer": false} {
 			d := newDeskWithRun(t)
 			if !listed {
-				d.Miss("w")
+				d.UnlistWorker("w")
 			}
 			d.cutOff("w")
 			d.keep()
@@ -426,7 +426,7 @@
 	d.beginAll("w")
 	d.answer(1000, worker.End{Sequence: 1, Task: "1.0.0.0", Number: 1, How: worker.Done})
 	assert.Assert(t, !has(d.keep(), keyStart+"w", true))
-	d.Miss("w")
+	d.UnlistWorker("w")
 	assert.Assert(t, has(d.keep(), keyStart+"w", false))
 }
 
@@ -435,10 +435,10 @@
 func TestAnOrderToAnInstanceEndsItsStartOnly(t *testing.T) {
 	for born, ended := range map[int64]bool{1000: true, 999: false, 0: false} {
 		d := newDeskWithRun(t)
-		d.Over([]worker.Life{{ID: "w", Born: born}}, d.now)
+		d.EndIncarnations([]worker.Life{{ID: "w", Born: born}}, d.now)
 		assert.Equal(t, d.workers["w"] == nil, ended, "start %d", born)
 		if !ended {
-			assert.DeepEqual(t, d.Attention(), []worker.ID{"w"})
+			assert.DeepEqual(t, d.PendingWorkers(), []worker.ID{"w"})
 		}
 	}
 }
@@ -448,7 +448,7 @@
 func TestACordonOutlivesARestart(t *testing.T) {
 	d := newDesk(t, 1)
 	d.serveAs(1000)
-	asked := Cordons{Epoch: 1, Number: 1, Workers: []Cordoned{{ID: "w", Must: true}}}
+	asked := CordonRequest{Epoch: 1, Number: 1, Workers: []CordonedWorker{{ID: "w", MaintenanceRequired: true}}}
 	_, err := d.Cordon(asked, d.now)
 	assert.NilError(t, err)
 	d.keep()
--- a/services/scheduler/room_test.go
+++ b/services/scheduler/room_test.go
@@ -17,7 +17,7 @@
 	info, known := d.Worker("w")
 	assert.Assert(d.t, known)
 	info.Capacity = job.Size{CPU: cpu, MemoryMB: 4000}
-	d.See(info)
+	d.UpdateWorker(info)
 }
 
 // TestNothingBeginsInARoomThatHasShrunk: a worker says that it has less room after tasks
--- a/services/scheduler/sharing.go
+++ b/services/scheduler/sharing.go
@@ -100,7 +100,7 @@
 		u.pace = w.sharing.now()
 		p.Logger.Info().Str("event", "pace").Str("task", u.name).Int("run", u.number).Str("worker", string(w.info.ID)).
 			Int("percent", u.pace).Dur("since", now.Sub(w.sharing.changed)).Msg("what fills gets another pace")
-		p.order(w, Order{Run: u, Pace: true})
+		p.order(w, Order{Run: u, CPUShare: true})
 	}
 }
 
--- a/services/scheduler/stale_test.go
+++ b/services/scheduler/stale_test.go
@@ -27,9 +27,9 @@
 	d.t.Helper()
 	order, has := d.NextOrder(id, d.now)
 	assert.Assert(d.t, has && !order.Stop)
-	d.Start(order, d.now)
-	if d.Answered(order, port.Answer{Verdict: port.Unknown}, d.now) {
-		d.Again(order, d.now)
+	d.StartOrder(order, d.now)
+	if d.HandleOrderResponse(order, port.Answer{Verdict: port.Unknown}, d.now) {
+		d.Retry(order, d.now)
 	}
 }
 
@@ -96,7 +96,7 @@
 	d.unanswered("w")
 	leaving := d.workers["w"].info
 	leaving.Draining = true
-	d.See(leaving)
+	d.UpdateWorker(leaving)
 	d.look("w", worker.Listing{}, heard)
 	starts, _ := d.orders("w")
 	assert.Equal(t, starts, 0, "a task is begun on a worker that leaves")
@@ -117,7 +117,7 @@
 	order, has := d.NextOrder("w", d.now)
 	assert.Assert(t, has)
 	at := heard.Clock + 500*time.Millisecond // the worker's clock now
-	deadline := d.Start(order, d.now).Deadline
+	deadline := d.StartOrder(order, d.now).Deadline
 	assert.Assert(t, deadline > at+time.Second, "it leaves no time for its way and for the first look")
 	assert.Assert(t, deadline <= at+2*time.Second, "a worker may begin it %s after it was sent", deadline-at)
 }
@@ -129,8 +129,8 @@
 	d.submit("1", 1)
 	d.keep()
 	order, _ := d.NextOrder("w", d.now)
-	d.Start(order, d.now)
-	d.Answered(order, heard, d.now)
-	_, ask, _ := d.BeginLook("w", 0, d.now)
+	d.StartOrder(order, d.now)
+	d.HandleOrderResponse(order, heard, d.now)
+	_, ask, _ := d.BeginPoll("w", 0, d.now)
 	assert.Equal(t, ask.Deadline, heard.Clock+testLimits.Lease)
 }
--- a/services/scheduler/takeover_test.go
+++ b/services/scheduler/takeover_test.go
@@ -16,7 +16,7 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-var testLimits = Limits{Lease: 4 * time.Second, StopTime: 400 * time.Millisecond, Keep: time.Minute}
+var testLimits = Limits{Lease: 4 * time.Second, StopTime: 400 * time.Millisecond, Retention: time.Minute}
 
 // testConfig has one queue that leads to the pool "p".
 var testConfig = config.New(1,
@@ -43,7 +43,7 @@
 // serve lists the worker "w" and has it answer a look.
 func (d *desk) serve() {
 	d.t.Helper()
-	d.See(worker.Worker{ID: "w", Instance: "i", Pool: "p", Address: "a", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}})
+	d.UpdateWorker(worker.Worker{ID: "w", Instance: "i", Pool: "p", Address: "a", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}})
 	d.look("w", worker.Listing{}, heard)
 }
 
@@ -58,9 +58,9 @@
 // look has a worker answer one look.
 func (d *desk) look(id worker.ID, listing worker.Listing, a port.Answer) {
 	d.t.Helper()
-	k, _, known := d.BeginLook(id, 0, d.now)
+	k, _, known := d.BeginPoll(id, 0, d.now)
 	assert.Assert(d.t, known)
-	d.EndLook(k, listing, a, d.now)
+	d.EndPoll(k, listing, a, d.now)
 }
 
 // keep plans and keeps what has changed, and returns its records.
@@ -85,7 +85,7 @@
 	records := first.keep()
 	order, has := first.NextOrder("w", first.now)
 	assert.Assert(t, has)
-	first.Start(order, first.now)
+	first.StartOrder(order, first.now)
 
 	second := newDesk(t, 2)
 	assert.NilError(t, second.Restore(records, second.now, time.Minute))
@@ -93,10 +93,10 @@
 	second.look("w", running, heard)
 	second.look("w", worker.Listing{}, port.Answer{Verdict: port.Unreached})
 	second.now = second.now.Add(testLimits.Lease)
-	second.Lapse(second.now)
+	second.ExpireLeases(second.now)
 	assert.Equal(t, len(second.firstTask("1").runs), 1, "the run is given up while its lease holds")
 	second.now = second.now.Add(time.Second)
-	second.Lapse(second.now)
+	second.ExpireLeases(second.now)
 	assert.Equal(t, len(second.firstTask("1").runs), 0)
 }
 
@@ -108,14 +108,14 @@
 	d.submit("1", 1)
 	d.keep()
 	order, _ := d.NextOrder("w", d.now)
-	d.Answered(order, heard, d.now)
+	d.HandleOrderResponse(order, heard, d.now)
 	d.now = d.now.Add(testLimits.Lease) // what the first look found must be over
 	d.submit("2", 1)                    // one that was kept earlier would be too old to go out
 	d.keep()
-	k, _, _ := d.BeginLook("w", 0, d.now)
+	k, _, _ := d.BeginPoll("w", 0, d.now)
 	order, _ = d.NextOrder("w", d.now)
-	sent := d.Start(order, d.now)
-	d.EndLook(k, worker.Listing{}, port.Answer{Verdict: port.Unreached}, d.now)
+	sent := d.StartOrder(order, d.now)
+	d.EndPoll(k, worker.Listing{}, port.Answer{Verdict: port.Unreached}, d.now)
 	assert.Equal(t, d.workers["w"].deadline, sent.Deadline)
 }
 
@@ -127,9 +127,9 @@
 	d.submit("1", 1)
 	d.keep()
 	order, _ := d.NextOrder("w", d.now)
-	d.Start(order, d.now)
-	assert.Assert(t, d.Answered(order, port.Answer{Verdict: port.Unknown}, d.now))
-	d.Again(order, d.now)
+	d.StartOrder(order, d.now)
+	assert.Assert(t, d.HandleOrderResponse(order, port.Answer{Verdict: port.Unknown}, d.now))
+	d.Retry(order, d.now)
 	_, err := d.Cancel("1", d.now)
 	assert.NilError(t, err)
 	d.keep()
@@ -147,11 +147,11 @@
 	d.submit("1", 2)
 	d.keep()
 	first, _ := d.NextOrder("w", d.now)
-	d.Start(first, d.now)
+	d.StartOrder(first, d.now)
 	second, _ := d.NextOrder("w", d.now)
-	d.Start(second, d.now)
-	assert.Assert(t, !d.Answered(first, port.Answer{Verdict: port.Unreached}, d.now))
-	assert.Assert(t, !d.Answered(second, port.Answer{Verdict: port.Unreached}, d.now))
+	d.StartOrder(second, d.now)
+	assert.Assert(t, !d.HandleOrderResponse(first, port.Answer{Verdict: port.Unreached}, d.now))
+	assert.Assert(t, !d.HandleOrderResponse(second, port.Answer{Verdict: port.Unreached}, d.now))
 	assert.Equal(t, d.jobs["1"].rounds[0].steps[0].waiting, 2)
 }
 
@@ -164,13 +164,13 @@
 		d.submit("1", 1)
 		d.keep()
 		order, _ := d.NextOrder("w", d.now)
-		d.Start(order, d.now)
-		assert.Assert(t, d.Answered(order, port.Answer{Verdict: port.Unknown}, d.now))
-		d.Again(order, d.now)
+		d.StartOrder(order, d.now)
+		assert.Assert(t, d.HandleOrderResponse(order, port.Answer{Verdict: port.Unknown}, d.now))
+		d.Retry(order, d.now)
 		order, _ = d.NextOrder("w", d.now)
-		d.Start(order, d.now)
+		d.StartOrder(order, d.now)
 		d.look("w", worker.Listing{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1}}}, heard)
-		assert.Assert(t, !d.Answered(order, port.Answer{Verdict: v}, d.now), "%s", v)
+		assert.Assert(t, !d.HandleOrderResponse(order, port.Answer{Verdict: v}, d.now), "%s", v)
 		assert.Equal(t, d.jobs["1"].rounds[0].steps[0].waiting, 0, "%s", v)
 		d.look("w", worker.Listing{}, heard)
 		assert.Equal(t, d.jobs["1"].rounds[0].steps[0].waiting, 1, "%s: a run that is gone is not noticed", v)
--- a/services/scheduler/worker.go
+++ b/services/scheduler/worker.go
@@ -142,9 +142,9 @@
 	}
 }
 
-// See takes what the platform's list says of a worker of the pool. It returns
+// UpdateWorker takes what the platform's list says of a worker of the pool. It returns
 // whether the worker is new.
-func (p *Pool) See(info worker.Worker) bool {
+func (p *Pool) UpdateWorker(info worker.Worker) bool {
 	w := p.workers[info.ID]
 	if w == nil {
 		w = p.addWorker(info)
@@ -227,10 +227,10 @@
 	}
 }
 
-// Miss takes the news that a worker stands in the platform's list no longer: it
+// UnlistWorker takes the news that a worker stands in the platform's list no longer: it
 // has left, crashed or been silent. What ran there may run on until its lease
 // has lapsed.
-func (p *Pool) Miss(id worker.ID) {
+func (p *Pool) UnlistWorker(id worker.ID) {
 	w := p.workers[id]
 	if w == nil || !w.listed {
 		return
@@ -273,9 +273,9 @@
 	p.blame(w, suspects, how, now)
 }
 
-// Over takes the news that workers' lives were ended by an order to their
+// EndIncarnations takes the news that workers' lives were ended by an order to their
 // instances. One that has another start by now is looked at.
-func (p *Pool) Over(lives []worker.Life, now time.Time) {
+func (p *Pool) EndIncarnations(lives []worker.Life, now time.Time) {
 	for _, l := range lives {
 		w := p.workers[l.ID]
 		switch {
@@ -306,9 +306,9 @@
 	}
 }
 
-// Lapse ends the runs of workers that have been silent until their leases were
+// ExpireLeases ends the runs of workers that have been silent until their leases were
 // over.
-func (p *Pool) Lapse(now time.Time) {
+func (p *Pool) ExpireLeases(now time.Time) {
 	for _, w := range p.workers {
 		if w.silent.IsZero() {
 			continue
