--- a/benchmarks/cluster_test.go
+++ b/benchmarks/cluster_test.go
@@ -112,7 +112,7 @@
 func (c *cluster) apply(b *testing.B, file manifest.File) time.Duration {
 	b.Helper()
 	begun := time.Now()
-	r, err := c.daemons[0].Entry.Rollout.Apply(context.Background(), rollout.Request{File: file, Short: true})
+	r, err := c.daemons[0].Entry.Rollout.Apply(context.Background(), rollout.Request{File: file, AllowShortage: true})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/benchmarks/rollout_test.go
+++ b/benchmarks/rollout_test.go
@@ -79,7 +79,7 @@
 	file := manifest.File{Deployment: name, Teams: []manifest.Team{{Name: name}}}
 	d := r.c.daemons[entry%len(r.c.daemons)]
 	begun := time.Now()
-	result, err := d.Entry.Rollout.Apply(context.Background(), rollout.Request{File: file, Short: true})
+	result, err := d.Entry.Rollout.Apply(context.Background(), rollout.Request{File: file, AllowShortage: true})
 	took := float64(time.Since(begun).Microseconds()) / 1000
 	if err != nil || !result.InForce {
 		b.Errorf("%s: %v, lagging: %v", name, err, result.Lagging)
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -64,7 +64,7 @@
 			d.Stop()
 			return nil
 		case <-ticker.C:
-			if d.Entry.Ledger.Deposed() {
+			if d.Entry.Ledger.Removed() {
 				d.Kill()
 				return errors.Trace(entry.ErrDeposed)
 			}
--- a/cmd/standalone.go
+++ b/cmd/standalone.go
@@ -112,7 +112,7 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, applyLimit)
 	defer cancel()
-	_, err := d.Entry.Rollout.Apply(bounded, rollout.Request{File: file, Operator: "standalone", Short: true})
+	_, err := d.Entry.Rollout.Apply(bounded, rollout.Request{File: file, Operator: "standalone", AllowShortage: true})
 	return errors.Annotatef(err, "applying %s", example.Name)
 }
 
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -49,7 +49,7 @@
 		Setting:    e.Current(),
 		Offset:     s.Offset,
 		LogTime:    s.Now,
-		Contact:    e.Ledger.Contact(),
+		Contact:    e.Ledger.LastContact(),
 		Version:    s.Catalog.Version,
 		Entries:    s.Entries.Map(),
 		Leases:     s.Leases.Map(),
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -55,8 +55,8 @@
 	Pools    *pools.Decider
 	Jobs     *jobs.Decider
 
-	fleet  *fleetwatch.Watch
-	keeper *leases.Keeper
+	fleet  *fleetwatch.Watcher
+	keeper *leases.Renewer
 	taker  *snapshots.Taker
 	server *peerrpc.Server
 	client *peerrpc.Client
@@ -137,10 +137,10 @@
 		Clock:       e.Clock,
 		Logger:      e.Logger,
 		Name:        e.Setting.Entry.Name,
-		Hall:        e.Setting.Entry.Hall,
+		DataCenter:  e.Setting.Entry.Hall,
 		Address:     cmp.Or(e.Setting.Peers.Advertise, e.Setting.Listen.Peers),
 		Incarnation: incarnation,
-		Peers:       ledger.Peers{Relay: e.relay, Whole: e.whole, Append: e.appendByPeer},
+		Peers:       ledger.Peers{Relay: e.relay, State: e.whole, Append: e.appendByPeer},
 	}
 	e.Members = &members.Table{
 		Clock:       e.Clock,
@@ -178,7 +178,7 @@
 		Ledger: once.Proposer{
 			State: e.Ledger.State,
 			Propose: func(ctx context.Context, records []record.Record, late func([]state.Verdict)) ([]state.Verdict, error) {
-				return e.Ledger.Propose(ctx, ledger.Proposal{Records: records, Late: late})
+				return e.Ledger.Propose(ctx, ledger.Proposal{Records: records, OnLateVerdicts: late})
 			},
 		},
 	}
@@ -198,18 +198,18 @@
 		Clock:   e.Clock,
 		Name:    e.Setting.Entry.Name,
 		State:   e.Ledger.State,
-		Propose: e.Ledger.ProposeTold,
+		Propose: e.Ledger.ProposeNotify,
 		Reached: e.client.Reached,
 	}
 }
 
 func (e *Entry) buildDeciders(ports Ports, incarnation uint64) {
 	name := e.Setting.Entry.Name
-	e.fleet = &fleetwatch.Watch{
+	e.fleet = &fleetwatch.Watcher{
 		Clock: e.Clock, Logger: e.Logger, Fleet: ports.Fleet, State: e.Ledger.State,
-		Propose: e.Propose, Leaving: e.leaving,
+		Propose: e.Propose, NotifyLeaving: e.leaving,
 	}
-	e.keeper = &leases.Keeper{
+	e.keeper = &leases.Renewer{
 		Clock: e.Clock, Name: name, Incarnation: incarnation,
 		State: e.Ledger.State, Alive: e.Members.AliveEntries, Propose: e.Propose,
 	}
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -56,7 +56,7 @@
 func (e *Entry) relayOut(from uint64) peerrpc.RelayAnswer {
 	return peerrpc.RelayAnswer{
 		Records: e.Ledger.Tail(from),
-		Age:     e.Clock.Now().Sub(e.Ledger.Contact()),
+		Age:     e.Clock.Now().Sub(e.Ledger.LastContact()),
 	}
 }
 
--- a/entry/run.go
+++ b/entry/run.go
@@ -176,10 +176,10 @@
 	switch {
 	case !ready:
 		return errkind.New(errkind.Stopping, "not serving")
-	case e.Ledger.Deposed():
+	case e.Ledger.Removed():
 		return errors.Trace(ErrDeposed)
 	}
-	age := e.Clock.Now().Sub(e.Ledger.Contact())
+	age := e.Clock.Now().Sub(e.Ledger.LastContact())
 	if age > e.Current().Limits.Stale.Std() {
 		return errkind.New(errkind.LogUnavailable, "neither the log nor a peer that is fresh enough was reached for %s", age.Round(time.Second))
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -27,9 +27,9 @@
 	"github.com/yardbridge/yardbridge/services/journal"
 	"github.com/yardbridge/yardbridge/services/monitor"
 	"github.com/yardbridge/yardbridge/services/owner"
+	"github.com/yardbridge/yardbridge/services/ownership"
 	"github.com/yardbridge/yardbridge/services/port"
 	"github.com/yardbridge/yardbridge/services/scheduler"
-	"github.com/yardbridge/yardbridge/services/steward"
 )
 
 // Ports are the outside systems that a node uses.
@@ -56,7 +56,7 @@
 	Logger    log.Logger
 	Directory *directory.Directory
 	Gateway   *gateway.Gateway
-	Steward   *steward.Steward
+	Steward   *ownership.Manager
 
 	hurry   chan struct{} // the list of workers is needed now
 	monitor *monitor.Monitor
@@ -97,9 +97,9 @@
 		},
 	}
 	n.Gateway = &gateway.Gateway{Directory: n.Directory, Clock: c, Logger: logger, Local: n.local, Remote: n.remote, Outdated: n.outdated}
-	n.Steward = &steward.Steward{
+	n.Steward = &ownership.Manager{
 		Directory: n.Directory, Clock: c, Logger: logger,
-		Config: n.Gateway.Config, Duties: duties, Open: n.open, Offer: n.offer, Take: n.take,
+		Config: n.Gateway.Config, Roles: duties, Open: n.open, ProbeTakeOver: n.offer, RequestTakeOver: n.take,
 	}
 	n.monitor = &monitor.Monitor{Directory: n.Directory, Clock: c, Logger: logger, Probe: n.probe, Ask: n.ask}
 	return n, nil
@@ -140,7 +140,7 @@
 // partition returns where the pool of a slot is kept.
 func (n *Node) partition(slot int) port.Partition {
 	parts := n.Setting.Platform.Partitions
-	return port.Partition{Topic: fmt.Sprintf("keyed.pools%d", slot/parts), Part: slot % parts}
+	return port.Partition{Topic: fmt.Sprintf("keyed.pools%d", slot/parts), Index: slot % parts}
 }
 
 // spareTopics is how many topics hold spare partitions: the store takes 100 topics, and the
@@ -155,7 +155,7 @@
 	if slot/parts >= spareTopics {
 		return port.Partition{}
 	}
-	return port.Partition{Topic: fmt.Sprintf("keyed.spares%d", slot/parts), Part: (slot + parts/2) % parts}
+	return port.Partition{Topic: fmt.Sprintf("keyed.spares%d", slot/parts), Index: (slot + parts/2) % parts}
 }
 
 // spareShare is how much of each second one duty has for asking its spare partition: all together
@@ -186,7 +186,7 @@
 }
 
 // open returns a tenant for a duty.
-func (n *Node) open(duty string, slot int) *steward.Tenant {
+func (n *Node) open(duty string, slot int) *ownership.RoleRunner {
 	logger := n.Logger.With().Str("pool", duty).Logger()
 	j := &journal.Journal{
 		Partition: n.partition(slot), Spare: n.spare(slot), SparePeriod: n.sparePeriod(), Store: n.Ports.Store, Clock: n.Clock, Logger: logger,
@@ -199,14 +199,14 @@
 }
 
 // openPool returns the tenant that runs a pool.
-func (n *Node) openPool(pool string, j *journal.Journal, logger log.Logger) *steward.Tenant {
+func (n *Node) openPool(pool string, j *journal.Journal, logger log.Logger) *ownership.RoleRunner {
 	b := n.bounds()
 	o := &owner.Owner{
 		Pool: pool, Journal: j, Workers: n.Ports.Workers, Advisor: n.Ports.Advisor,
 		Limits: scheduler.Limits{
 			Lease: min(lease, b.LeaseMost.Std()), MaxLease: b.LeaseMost.Std(), StopTime: b.StopTime.Std(), Retention: b.StatusKept.Std(), RemoteFactor: b.FarTimes,
 		},
-		Clock: n.Clock, Logger: logger, Alone: n.alone, Count: n.Ports.Count,
+		Clock: n.Clock, Logger: logger, NoPeers: n.alone, Count: n.Ports.Count,
 	}
 	run := func(ctx context.Context) error {
 		n.setOwner(pool, o)
@@ -214,21 +214,21 @@
 		n.inform(ctx, o)
 		return o.Run(ctx)
 	}
-	return &steward.Tenant{Claim: o.Claim, Run: run, Stuck: j.StuckFor, Epoch: o.Epoch, Done: o.Done}
+	return &ownership.RoleRunner{Claim: o.Claim, Run: run, Stuck: j.StuckFor, Epoch: o.Epoch, Done: o.Done}
 }
 
 // openFleet returns the tenant that decides on instances.
-func (n *Node) openFleet(j *journal.Journal, logger log.Logger) *steward.Tenant {
+func (n *Node) openFleet(j *journal.Journal, logger log.Logger) *ownership.RoleRunner {
 	b := n.bounds()
 	m := &fleet.Manager{
 		Journal: j, Instances: n.Ports.Instances, Clock: n.Clock, Logger: logger,
-		Limits: fleet.Limits{Repair: b.RepairTime.Std(), HolderLease: b.HolderLease.Std()},
-		Config: n.Gateway.Config, Waves: n.waveList, Report: n.report, Allow: n.allow,
-		Tell: func(ctx context.Context, wave int, done bool) error {
-			return n.Ports.Feeds.TellWave(ctx, n.Ports.Store, wave, done)
+		Limits: fleet.Limits{MaintenanceTime: b.RepairTime.Std(), HolderLease: b.HolderLease.Std()},
+		Config: n.Gateway.Config, Waves: n.waveList, RequestReport: n.report, UpdateAllowances: n.allow,
+		ReportWave: func(ctx context.Context, wave int, done bool) error {
+			return n.Ports.Feeds.ReportWave(ctx, n.Ports.Store, wave, done)
 		},
 	}
-	return &steward.Tenant{Claim: m.Claim, Run: m.Run, Stuck: j.StuckFor, Epoch: m.Epoch, Done: m.Done}
+	return &ownership.RoleRunner{Claim: m.Claim, Run: m.Run, Stuck: j.StuckFor, Epoch: m.Epoch, Done: m.Done}
 }
 
 // owner returns the owner of a pool on this node, nil for none.
@@ -267,7 +267,7 @@
 	n.mu.Lock()
 	list := slices.Collect(maps.Values(n.workers))
 	n.mu.Unlock()
-	o.See(ctx, list, true)
+	o.UpdateWorkers(ctx, list, true)
 }
 
 // waveList returns the waves that the operators have asked for.
@@ -392,9 +392,9 @@
 	}
 	n.mu.Unlock()
 	for _, o := range n.ownerList() {
-		o.See(ctx, seen, whole)
+		o.UpdateWorkers(ctx, seen, whole)
 		if !whole && len(gone) > 0 {
-			o.Miss(gone)
+			o.UnlistWorkers(gone)
 		}
 	}
 }
--- a/node/rpc.go
+++ b/node/rpc.go
@@ -149,7 +149,7 @@
 }
 
 func (n *Node) onTake(ctx context.Context, a onPool) (any, error) {
-	return n.Steward.Assume(ctx, a.Pool)
+	return n.Steward.TakeOver(ctx, a.Pool)
 }
 
 // local returns the desk of a pool that this node owns, nil for none.
@@ -247,13 +247,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return o.Allow(ctx, a.Question)
+	return o.UpdateAllowances(ctx, a.Question)
 }
 
 // allow asks the owner of a pool for what it tells of its allowances, on this node or another.
 func (n *Node) allow(ctx context.Context, pool string, q quota.Question) (quota.Statement, error) {
 	if o := n.owner(pool); o != nil {
-		return o.Allow(ctx, q)
+		return o.UpdateAllowances(ctx, q)
 	}
 	var s quota.Statement
 	err := n.callOwner(ctx, pool, methodAllow, allowAsk{pool, q}, &s)
--- a/routers/apiv1/config.go
+++ b/routers/apiv1/config.go
@@ -80,7 +80,7 @@
 		return q, err
 	}
 	q.File = file
-	q.Short = query.Get("short") == "true"
+	q.AllowShortage = query.Get("short") == "true"
 	if text := query.Get("base"); text != "" {
 		base, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
--- a/services/fleet/lend.go
+++ b/services/fleet/lend.go
@@ -78,10 +78,10 @@
 func (m *Manager) tellAllowances(ctx context.Context) bool {
 	m.mu.Lock()
 	var due []question
-	for _, pool := range m.lends.Due() {
+	for _, pool := range m.lends.DuePools() {
 		if !m.asking[pool] {
 			m.asking[pool] = true
-			due = append(due, question{m, pool, m.lends.Ask(pool)})
+			due = append(due, question{m, pool, m.lends.Query(pool)})
 		}
 	}
 	m.mu.Unlock()
@@ -113,7 +113,7 @@
 	defer cancel()
 	defer func() { answers <- struct{}{} }()
 	m, pool := q.m, q.pool
-	s, err := m.Allow(bounded, pool, q.ask)
+	s, err := m.UpdateAllowances(bounded, pool, q.ask)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.asking, pool)
@@ -121,5 +121,5 @@
 		m.Logger.Debug().Str("event", "allowance").Str("pool", pool).Err(err).Msg("a pool's owner does not answer")
 		return
 	}
-	m.lends.Take(pool, s, m.Clock.Now())
+	m.lends.ApplyReport(pool, s, m.Clock.Now())
 }
--- a/services/fleet/manager.go
+++ b/services/fleet/manager.go
@@ -39,12 +39,12 @@
 	Config func() *config.Config
 	// Waves returns the waves that the operators have asked for.
 	Waves func() []wave.Wave
-	// Tell tells the operators that a wave runs or is done.
-	Tell func(ctx context.Context, wave int, done bool) error
-	// Allow asks a pool's owner for what it tells of its allowances, and may give it others.
-	Allow func(ctx context.Context, pool string, q quota.Question) (quota.Statement, error)
-	// Report asks a pool's owner for its report, and for cordons.
-	Report func(ctx context.Context, pool string, asked scheduler.CordonRequest) (scheduler.Report, error)
+	// ReportWave tells the operators that a wave runs or is done.
+	ReportWave func(ctx context.Context, wave int, done bool) error
+	// UpdateAllowances asks a pool's owner for what it tells of its allowances, and may give it others.
+	UpdateAllowances func(ctx context.Context, pool string, q quota.Question) (quota.Statement, error)
+	// RequestReport asks a pool's owner for its report, and for cordons.
+	RequestReport func(ctx context.Context, pool string, asked scheduler.CordonRequest) (scheduler.Report, error)
 
 	done     chan struct{}
 	reported chan struct{} // pools have reported
@@ -58,8 +58,8 @@
 
 // Limits are the bounds of orders to instances.
 type Limits struct {
-	Repair      time.Duration // that a maintenance takes
-	HolderLease time.Duration // between the orders of two holders to one instance
+	MaintenanceTime time.Duration // that a maintenance takes
+	HolderLease     time.Duration // between the orders of two holders to one instance
 }
 
 // The keys of the manager's journal begin with these.
@@ -105,7 +105,7 @@
 	m.lends = lending.Lender{Epoch: m.Epoch(), Logger: m.Logger}
 	m.past = make(map[string]intent)
 	m.view = view{
-		pools: make(map[string]*poolState), actions: make(map[string]*action), barred: make(map[bar]bool), repair: m.Limits.Repair,
+		pools: make(map[string]*poolState), actions: make(map[string]*action), barred: make(map[bar]bool), repair: m.Limits.MaintenanceTime,
 	}
 	if err := m.restore(records); err != nil {
 		return err
@@ -371,7 +371,7 @@
 
 // ask takes the report of one pool.
 func (m *Manager) ask(ctx context.Context, pool string, asked scheduler.CordonRequest) {
-	r, err := m.Report(ctx, pool, asked)
+	r, err := m.RequestReport(ctx, pool, asked)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err != nil {
@@ -384,7 +384,7 @@
 		m.view.pools[pool] = p
 	}
 	p.report, p.at = r, m.Clock.Now()
-	m.lends.Take(pool, r.Quota, p.at)
+	m.lends.ApplyReport(pool, r.Quota, p.at)
 }
 
 // cordons returns what is asked of a pool: the workers that nothing may be placed
@@ -402,7 +402,7 @@
 		}
 	}
 	m.mu.Lock()
-	asked.Accounts = m.lends.Accounts()
+	asked.Accounts = m.lends.WantedAccounts()
 	m.mu.Unlock()
 	slices.SortFunc(asked.Workers, func(a, b scheduler.CordonedWorker) int { return cmp.Compare(a.ID, b.ID) })
 	return asked
@@ -421,7 +421,7 @@
 
 // tell tells the operators of a wave and returns whether that is kept.
 func (m *Manager) tell(ctx context.Context, number int, done bool) bool {
-	err := m.Tell(ctx, number, done)
+	err := m.ReportWave(ctx, number, done)
 	m.Logger.Info().Str("event", "wave").Int("wave", number).Bool("completed", done).AnErr("err", err).Msg("a wave's state is told")
 	return err == nil
 }
--- a/services/fleet/order.go
+++ b/services/fleet/order.go
@@ -129,7 +129,7 @@
 
 // give gives one order.
 func (m *Manager) give(ctx context.Context, a *action) {
-	permit := port.Permit{Holder: m.Node, Token: m.Epoch()}
+	permit := port.Issuer{Holder: m.Node, Token: m.Epoch()}
 	var err error
 	if a.to != "" {
 		err = m.Instances.Move(ctx, permit, a.instance, a.to)
--- a/services/fleet/order_test.go
+++ b/services/fleet/order_test.go
@@ -30,11 +30,11 @@
 		w := world.New(1)
 		m := &Manager{
 			Journal: &journal.Journal{Partition: port.Partition{Topic: "t"}, Store: w.Store("n1"), Logger: log.Nop()},
-			Clock:   clock.Clock{}, Logger: log.Nop(), Limits: Limits{Repair: time.Second, HolderLease: time.Second},
+			Clock:   clock.Clock{}, Logger: log.Nop(), Limits: Limits{MaintenanceTime: time.Second, HolderLease: time.Second},
 			Config: func() *config.Config { return nil }, Waves: func() []wave.Wave { return nil },
 		}
 		tries := 0
-		m.Instances.Maintain = func(context.Context, port.Permit, string, int) error {
+		m.Instances.Maintain = func(context.Context, port.Issuer, string, int) error {
 			tries++
 			if tries == 1 {
 				return errkind.New(errkind.OutcomeUnknown, "no answer")
@@ -62,8 +62,8 @@
 		claim := func(node string) *Manager {
 			m := &Manager{
 				Journal: &journal.Journal{Partition: port.Partition{Topic: "t"}, Store: w.Store(node), Logger: log.Nop()},
-				Logger:  log.Nop(), Limits: Limits{Repair: time.Second, HolderLease: 3 * time.Second},
-				Instances: port.Instances{Move: func(context.Context, port.Permit, string, string) error {
+				Logger:  log.Nop(), Limits: Limits{MaintenanceTime: time.Second, HolderLease: 3 * time.Second},
+				Instances: port.Instances{Move: func(context.Context, port.Issuer, string, string) error {
 					ordered = time.Now()
 					return errkind.New(errkind.OutcomeUnknown, "no answer")
 				}},
--- a/services/fleetwatch/watch.go
+++ b/services/fleetwatch/watch.go
@@ -24,21 +24,21 @@
 // listTimeout bounds one reading of the list.
 const listTimeout = 2 * time.Second
 
-// Watch reads the list in turn with the other entries.
-type Watch struct {
+// Watcher reads the list in turn with the other entries.
+type Watcher struct {
 	Clock   clock.Clock
 	Logger  log.Logger
 	Fleet   platform.Fleet
 	State   func() state.State
 	Propose func(ctx context.Context, records []record.Record) ([]state.Verdict, error)
-	// Leaving is told which workers leave or are gone.
-	Leaving func(workers []string)
+	// NotifyLeaving is told which workers leave or are gone.
+	NotifyLeaving func(workers []string)
 }
 
 // Run reads the list until the context ends.
-func (w *Watch) Run(ctx context.Context) {
+func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := w.Once(ctx); err != nil {
+		if err := w.Refresh(ctx); err != nil {
 			w.Logger.Debug().Err(err).Msg("instance list not taken over")
 		}
 		select {
@@ -51,13 +51,13 @@
 // pause is the time to the next reading. Each entry reads less often the more
 // there are, so that the platform sees the same load, and at random times, so
 // that they do not all read at once and then none for long.
-func (w *Watch) pause() time.Duration {
+func (w *Watcher) pause() time.Duration {
 	mean := ListPeriod * time.Duration(max(len(w.State().Roster()), 1))
 	return time.Duration((0.5 + rand.Float64()) * float64(mean))
 }
 
-// Once reads the list and proposes what changed.
-func (w *Watch) Once(ctx context.Context) error {
+// Refresh reads the list and proposes what changed.
+func (w *Watcher) Refresh(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	l, err := w.Fleet.List(bounded, w.State().ListRevision)
@@ -68,7 +68,7 @@
 	if l.Revision <= s.ListRevision {
 		return nil
 	}
-	sighting, gone := Compare(s, l)
+	sighting, gone := Diff(s, l)
 	w.tell(sighting.Workers)
 	records := []record.Record{{Sighting: &sighting}}
 	for i := range gone {
@@ -87,7 +87,7 @@
 }
 
 // tell passes on what must not wait for the log.
-func (w *Watch) tell(changed []fleet.Worker) {
+func (w *Watcher) tell(changed []fleet.Worker) {
 	var leaving []string
 	for _, c := range changed {
 		if c.Condition != fleet.Live {
@@ -95,13 +95,13 @@
 		}
 	}
 	if len(leaving) > 0 {
-		w.Leaving(leaving)
+		w.NotifyLeaving(leaving)
 	}
 }
 
-// Compare returns what a list shows that the state does not, and the entries
+// Diff returns what a list shows that the state does not, and the entries
 // that it no longer shows.
-func Compare(s state.State, l platform.Listing) (record.Sighting, []record.Gone) {
+func Diff(s state.State, l platform.Listing) (record.Sighting, []record.Gone) {
 	g := record.Sighting{Revision: l.Revision}
 	listed := make(map[string]bool, len(l.Workers))
 	for _, w := range l.Workers {
--- a/services/journal/journal.go
+++ b/services/journal/journal.go
@@ -230,7 +230,7 @@
 			j.note(sent)
 			return nil
 		}
-		j.Logger.Warn().Str("event", "append").Str("topic", a.at.Topic).Int("part", a.at.Part).Uint64("epoch", a.writer.Epoch).
+		j.Logger.Warn().Str("event", "append").Str("topic", a.at.Topic).Int("part", a.at.Index).Uint64("epoch", a.writer.Epoch).
 			Uint64("sequence", a.writer.Sequence).Int("records", len(a.records)).Int("try", try).Err(err).Msg("records are not known to be kept")
 		mayGiveUp = mayGiveUp && !errkind.Is(err, errkind.OutcomeUnknown)
 		if isFenced(err) || mayGiveUp || ctx.Err() != nil {
--- a/services/journal/spare.go
+++ b/services/journal/spare.go
@@ -168,7 +168,7 @@
 		wrapped[i] = port.Record{Key: r.Key, Value: value}
 	}
 	if len(s.newer) == 0 && len(records) > 0 {
-		j.Logger.Warn().Str("event", "spare").Str("topic", j.Spare.Topic).Int("part", j.Spare.Part).Uint64("session", s.session.Number).
+		j.Logger.Warn().Str("event", "spare").Str("topic", j.Spare.Topic).Int("part", j.Spare.Index).Uint64("session", s.session.Number).
 			Str("outcome", "used").Msg("the partition does not answer; records go to the spare one")
 		j.count(spareUsed)
 	}
--- a/services/leases/leases.go
+++ b/services/leases/leases.go
@@ -15,13 +15,13 @@
 
 // The times of the leases.
 const (
-	Life   = 6 * time.Second
-	Period = 2 * time.Second
+	TTL         = 6 * time.Second
+	RenewPeriod = 2 * time.Second
 )
 
-// Keeper renews the roles that this entry holds, and takes free ones that
+// Renewer renews the roles that this entry holds, and takes free ones that
 // rendezvous hashing over the live entries gives it.
-type Keeper struct {
+type Renewer struct {
 	Clock       clock.Clock
 	Name        string
 	Incarnation uint64
@@ -31,29 +31,29 @@
 }
 
 // Run keeps the roles until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Renewer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		k.Once(ctx)
+		k.RenewDue(ctx)
 		select {
-		case <-k.Clock.After(Period):
+		case <-k.Clock.After(RenewPeriod):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// Once proposes the leases that are due, in one append. Refusals are normal:
+// RenewDue proposes the leases that are due, in one append. Refusals are normal:
 // another entry was first.
-func (k *Keeper) Once(ctx context.Context) {
+func (k *Renewer) RenewDue(ctx context.Context) {
 	due := k.due()
 	if len(due) == 0 {
 		return
 	}
-	bounded, cancel := context.WithTimeout(ctx, Period)
+	bounded, cancel := context.WithTimeout(ctx, RenewPeriod)
 	defer cancel()
 	_, _ = k.Propose(bounded, due)
 }
 
-func (k *Keeper) due() []record.Record {
+func (k *Renewer) due() []record.Record {
 	s := k.State()
 	alive := k.Alive()
 	var due []record.Record
@@ -64,7 +64,7 @@
 		// that is not renewed is judged by this process's clock as well.
 		free := !l.Until.After(k.Clock.Now())
 		if held || free && rendezvous.Owner(string(role), alive) == k.Name {
-			due = append(due, record.Record{Lease: &record.Lease{Role: role, Life: Life}})
+			due = append(due, record.Record{Lease: &record.Lease{Role: role, Life: TTL}})
 		}
 	}
 	return due
--- a/services/ledger/ledger.go
+++ b/services/ledger/ledger.go
@@ -22,8 +22,8 @@
 	// Relay returns records from an offset on, and how long ago the peer was
 	// in contact with the log.
 	Relay func(ctx context.Context, from uint64) (records []record.Stored, age time.Duration, err error)
-	// Whole returns the newest state of a peer.
-	Whole func(ctx context.Context) (state.State, error)
+	// State returns the newest state of a peer.
+	State func(ctx context.Context) (state.State, error)
 	// Append puts a batch of this process on the log through a peer. After an
 	// error it may still have taken effect.
 	Append func(ctx context.Context, data []byte) error
@@ -39,7 +39,7 @@
 	Name        string // of the entry
 	Incarnation uint64
 	Address     string // for peers
-	Hall        string
+	DataCenter  string
 
 	mu      sync.Mutex
 	state   state.State
@@ -67,8 +67,8 @@
 	return l.state, l.changed
 }
 
-// Contact returns the last time at which the state was known to be the newest.
-func (l *Ledger) Contact() time.Time {
+// LastContact returns the last time at which the state was known to be the newest.
+func (l *Ledger) LastContact() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.contact
@@ -104,9 +104,9 @@
 	return rest[:min(len(rest), tailPage)]
 }
 
-// Deposed reports whether the roster no longer holds this process: it was
+// Removed reports whether the roster no longer holds this process: it was
 // replaced, or the platform no longer lists it.
-func (l *Ledger) Deposed() bool {
+func (l *Ledger) Removed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e, ok := l.state.Entries.Get(l.Name)
--- a/services/ledger/ledger_test.go
+++ b/services/ledger/ledger_test.go
@@ -104,7 +104,7 @@
 	late := make(chan []state.Verdict, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	_, err := g.Propose(ctx, Proposal{Records: []record.Record{team("d", "t", 0)}, Late: func(v []state.Verdict) { late <- v }})
+	_, err := g.Propose(ctx, Proposal{Records: []record.Record{team("d", "t", 0)}, OnLateVerdicts: func(v []state.Verdict) { late <- v }})
 	assert.Assert(t, errkind.Is(err, errkind.OutcomeUnknown))
 	l.SetFaults(standin.LogFaults{})
 	assert.NilError(t, (<-late)[0])
@@ -126,7 +126,7 @@
 	assert.Assert(t, errkind.IsErrLogUnavailable(fresh.Start(ctx)))
 	// ... but from a peer it can.
 	whole := func(context.Context) (state.State, error) { return a.State(), nil }
-	b := start(t, l, "b", Peers{Whole: whole})
+	b := start(t, l, "b", Peers{State: whole})
 	assert.Equal(t, len(b.State().Catalog.Live()), 1)
 
 	// With a snapshot on the log it needs nobody.
@@ -147,12 +147,12 @@
 	l := &standin.Log{}
 	a := start(t, l, "a", Peers{})
 	relay := func(_ context.Context, from uint64) ([]record.Stored, time.Duration, error) {
-		return a.Tail(from), time.Since(a.Contact()), nil
+		return a.Tail(from), time.Since(a.LastContact()), nil
 	}
 	cut := errkind.New(errkind.LogUnavailable, "cut off")
 	b := &Ledger{Logger: log.Nop(), Name: "b", Incarnation: 1, Peers: Peers{
 		Relay: relay,
-		Whole: func(context.Context) (state.State, error) { return a.State(), nil },
+		State: func(context.Context) (state.State, error) { return a.State(), nil },
 		Append: func(ctx context.Context, data []byte) error {
 			if _, err := a.Log.Append(ctx, data); err != nil {
 				return err
@@ -182,7 +182,7 @@
 func TestReplacedProcessKnowsIt(t *testing.T) {
 	l := &standin.Log{}
 	old := start(t, l, "a", Peers{})
-	assert.Assert(t, !old.Deposed())
+	assert.Assert(t, !old.Removed())
 	fresh := &Ledger{Log: l.Port(), Logger: log.Nop(), Name: "a", Incarnation: 2}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -193,7 +193,7 @@
 	}()
 	assert.NilError(t, fresh.Join(ctx))
 	assert.NilError(t, old.WaitFor(ctx, state.Mark{Offset: fresh.State().Offset}))
-	assert.Assert(t, old.Deposed())
+	assert.Assert(t, old.Removed())
 	cancel()
 	<-ended
 }
--- a/services/ledger/reader.go
+++ b/services/ledger/reader.go
@@ -32,10 +32,10 @@
 		}
 		return l.readToEnd(ctx)
 	}
-	if l.Peers.Whole == nil {
+	if l.Peers.State == nil {
 		return errors.Trace(err)
 	}
-	s, peerErr := l.Peers.Whole(ctx)
+	s, peerErr := l.Peers.State(ctx)
 	if peerErr != nil {
 		return errors.Annotatef(err, "no peer has the state either (%v)", peerErr)
 	}
@@ -61,9 +61,9 @@
 // from a peer where there is none.
 func (l *Ledger) restore(ctx context.Context, first uint64) error {
 	s, err := l.findSnapshot(ctx, first)
-	if err != nil && l.Peers.Whole != nil {
+	if err != nil && l.Peers.State != nil {
 		l.Logger.Warn().Err(err).Msg("no snapshot on the log, asking the peers")
-		s, err = l.Peers.Whole(ctx)
+		s, err = l.Peers.State(ctx)
 	}
 	if err != nil {
 		return errors.Trace(err)
--- a/services/ledger/writer.go
+++ b/services/ledger/writer.go
@@ -34,12 +34,12 @@
 // Proposal is a group of records that goes on the log in one append.
 type Proposal struct {
 	Records []record.Record
-	// Late is called where Propose has given up and the outcome is known
+	// OnLateVerdicts is called where Propose has given up and the outcome is known
 	// after all; it may be nil.
-	Late func([]state.Verdict)
-	// Sent is told, before the append, which batch the records are in; it may
+	OnLateVerdicts func([]state.Verdict)
+	// OnSend is told, before the append, which batch the records are in; it may
 	// be nil and must not block.
-	Sent func(m state.Mark)
+	OnSend func(m state.Mark)
 }
 
 // waiting is a proposal on its way; Ledger.mu guards it.
@@ -89,7 +89,7 @@
 }
 
 func (w *writer) finish(p *waiting) {
-	if p.abandoned && p.Late != nil && !p.lost {
+	if p.abandoned && p.OnLateVerdicts != nil && !p.lost {
 		go p.run()
 		return
 	}
@@ -97,7 +97,7 @@
 }
 
 // run tells the late outcome without holding any lock.
-func (p *waiting) run() { p.Late(p.verdicts) }
+func (p *waiting) run() { p.OnLateVerdicts(p.verdicts) }
 
 func (w *writer) endFlight() {
 	w.flight = nil
@@ -128,13 +128,13 @@
 
 // ProposeOne proposes a single record and returns its verdict or the error.
 func (l *Ledger) ProposeOne(ctx context.Context, r record.Record) error {
-	return l.ProposeTold(ctx, r, nil)
+	return l.ProposeNotify(ctx, r, nil)
 }
 
-// ProposeTold is ProposeOne that tells, before the append, which batch the
+// ProposeNotify is ProposeOne that tells, before the append, which batch the
 // record is in; sent may be nil and must not block.
-func (l *Ledger) ProposeTold(ctx context.Context, r record.Record, sent func(state.Mark)) error {
-	verdicts, err := l.Propose(ctx, Proposal{Records: []record.Record{r}, Sent: sent})
+func (l *Ledger) ProposeNotify(ctx context.Context, r record.Record, sent func(state.Mark)) error {
+	verdicts, err := l.Propose(ctx, Proposal{Records: []record.Record{r}, OnSend: sent})
 	if err != nil {
 		return err
 	}
@@ -240,8 +240,8 @@
 	flight := l.writer.flight
 	l.mu.Unlock()
 	for _, p := range flight {
-		if p.Sent != nil {
-			p.Sent(state.Mark{Writer: b.Writer, Incarnation: b.Incarnation, Sequence: b.Sequence})
+		if p.OnSend != nil {
+			p.OnSend(state.Mark{Writer: b.Writer, Incarnation: b.Incarnation, Sequence: b.Sequence})
 		}
 	}
 }
@@ -263,7 +263,7 @@
 
 // Join enters this process into the roster; it must be the first proposal.
 func (l *Ledger) Join(ctx context.Context) error {
-	err := l.ProposeOne(ctx, record.Record{Join: &record.Join{Address: l.Address, Hall: l.Hall}})
+	err := l.ProposeOne(ctx, record.Record{Join: &record.Join{Address: l.Address, Hall: l.DataCenter}})
 	if err != nil {
 		return err
 	}
--- a/services/lending/lender.go
+++ b/services/lending/lender.go
@@ -86,12 +86,12 @@
 	return l.books[pool]
 }
 
-// Accounts returns the customers whose accounts are wanted from all pools, in order.
-func (l *Lender) Accounts() []string { return slices.Sorted(maps.Keys(l.asks)) }
+// WantedAccounts returns the customers whose accounts are wanted from all pools, in order.
+func (l *Lender) WantedAccounts() []string { return slices.Sorted(maps.Keys(l.asks)) }
 
-// Ask returns what a pool's owner is to be asked.
-func (l *Lender) Ask(pool string) quota.Question {
-	q := quota.Question{Epoch: l.Epoch, Accounts: l.Accounts()}
+// Query returns what a pool's owner is to be asked.
+func (l *Lender) Query(pool string) quota.Question {
+	q := quota.Question{Epoch: l.Epoch, Accounts: l.WantedAccounts()}
 	if b := l.books[pool]; b != nil && b.heard && !b.taken {
 		told := b.told
 		q.Allow = &told
@@ -99,9 +99,9 @@
 	return q
 }
 
-// Due returns the pools to be asked at once, in order: those that have not said yet that they
+// DuePools returns the pools to be asked at once, in order: those that have not said yet that they
 // have the newest allowances, and those that have not told an account that is wanted.
-func (l *Lender) Due() []string {
+func (l *Lender) DuePools() []string {
 	return slices.DeleteFunc(l.pools(), func(pool string) bool {
 		b := l.books[pool]
 		return !b.heard || b.taken && b.hasTold(l.asks)
@@ -124,9 +124,9 @@
 
 func (l *Lender) pools() []string { return slices.Sorted(maps.Keys(l.books)) }
 
-// Take takes a pool's statement. What comes from an owner that another has replaced, or was
+// ApplyReport takes a pool's statement. What comes from an owner that another has replaced, or was
 // said before the newest, is passed over.
-func (l *Lender) Take(pool string, s quota.Statement, now time.Time) {
+func (l *Lender) ApplyReport(pool string, s quota.Statement, now time.Time) {
 	b := l.book(pool, now)
 	if s.Owner < b.said.Owner || s.Owner == b.said.Owner && s.Allowed.Before(b.said.Allowed) {
 		return
--- a/services/lending/lender_test.go
+++ b/services/lending/lender_test.go
@@ -126,7 +126,7 @@
 	for _, name := range s.names() {
 		p := s.pools[name]
 		if !s.lost() {
-			s.lender.Take(name, p.statement(quota.Question{Epoch: s.lender.Epoch, Accounts: s.lender.Accounts()}), s.now)
+			s.lender.ApplyReport(name, p.statement(quota.Question{Epoch: s.lender.Epoch, Accounts: s.lender.WantedAccounts()}), s.now)
 		}
 	}
 }
@@ -142,17 +142,17 @@
 		s.journal[r.Key] = r
 		s.bytes += len(r.Value)
 	}
-	for _, name := range s.lender.Due() {
+	for _, name := range s.lender.DuePools() {
 		s.calls++
 		if s.lost() {
 			continue
 		}
-		q := s.lender.Ask(name)
+		q := s.lender.Query(name)
 		a := s.pools[name].statement(q)
 		data, _ := json.Marshal([]any{q, a}) // what is sent can be encoded
 		s.bytes += len(data)
 		if !s.lost() {
-			s.lender.Take(name, a, s.now)
+			s.lender.ApplyReport(name, a, s.now)
 		}
 	}
 }
--- a/services/measure/measure_test.go
+++ b/services/measure/measure_test.go
@@ -24,7 +24,7 @@
 	err := failing.Put(t.Context(), port.Partition{}, nil)
 	assert.Equal(t, errkind.Of(err).Kind, errkind.LogUnavailable)
 	links := m.Workers(port.Workers{Open: func(worker.Worker) *port.Link {
-		return &port.Link{Start: func(context.Context, port.Start) port.Answer { return port.Answer{Verdict: port.NoRoom} }}
+		return &port.Link{Start: func(context.Context, port.Start) port.Response { return port.Response{Result: port.NoCapacity} }}
 	}})
 	links.Open(worker.Worker{}).Start(t.Context(), port.Start{})
 	assert.Equal(t, m.Counted("store.put."+errkind.LogUnavailable.String()), int64(1))
--- a/services/measure/ports.go
+++ b/services/measure/ports.go
@@ -55,27 +55,27 @@
 
 func (m *Meter) link(l *port.Link) *port.Link {
 	counted := *l
-	counted.Start = func(ctx context.Context, s port.Start) port.Answer {
+	counted.Start = func(ctx context.Context, s port.Start) port.Response {
 		began := time.Now()
 		a := l.Start(ctx, s)
-		m.Time("worker.start", time.Since(began), string(a.Verdict))
+		m.Time("worker.start", time.Since(began), string(a.Result))
 		return a
 	}
-	counted.Stop = func(ctx context.Context, s port.Stop) port.Answer {
+	counted.Stop = func(ctx context.Context, s port.Stop) port.Response {
 		began := time.Now()
 		a := l.Stop(ctx, s)
-		m.Time("worker.stop", time.Since(began), string(a.Verdict))
+		m.Time("worker.stop", time.Since(began), string(a.Result))
 		return a
 	}
-	counted.Pace = func(ctx context.Context, p port.Pace) port.Answer {
+	counted.SetCPUShare = func(ctx context.Context, p port.CPUShare) port.Response {
 		began := time.Now()
-		a := l.Pace(ctx, p)
-		m.Time("worker.pace", time.Since(began), string(a.Verdict))
+		a := l.SetCPUShare(ctx, p)
+		m.Time("worker.pace", time.Since(began), string(a.Result))
 		return a
 	}
-	counted.Look = func(ctx context.Context, k port.Look) (worker.Listing, port.Answer) {
-		listing, a := l.Look(ctx, k)
-		m.Count("worker.look." + string(a.Verdict))
+	counted.Poll = func(ctx context.Context, k port.Poll) (worker.Listing, port.Response) {
+		listing, a := l.Poll(ctx, k)
+		m.Count("worker.look." + string(a.Result))
 		return listing, a
 	}
 	return &counted
@@ -90,13 +90,13 @@
 		m.Call("instances.list", time.Since(began), err)
 		return list, err
 	}
-	counted.Move = func(ctx context.Context, p port.Permit, instance, pool string) error {
+	counted.Move = func(ctx context.Context, p port.Issuer, instance, pool string) error {
 		began := time.Now()
 		err := i.Move(ctx, p, instance, pool)
 		m.Call("instances.move", time.Since(began), err)
 		return err
 	}
-	counted.Maintain = func(ctx context.Context, p port.Permit, instance string, wave int) error {
+	counted.Maintain = func(ctx context.Context, p port.Issuer, instance string, wave int) error {
 		began := time.Now()
 		err := i.Maintain(ctx, p, instance, wave)
 		m.Call("instances.maintain", time.Since(began), err)
@@ -107,9 +107,9 @@
 
 // Advisor returns the advice service with its calls counted.
 func (m *Meter) Advisor(a port.Advisor) port.Advisor {
-	return port.Advisor{Ask: func(ctx context.Context, step string, workers []worker.ID) ([]port.Ticket, error) {
+	return port.Advisor{Advise: func(ctx context.Context, step string, workers []worker.ID) ([]port.Ticket, error) {
 		began := time.Now()
-		tickets, err := a.Ask(ctx, step, workers)
+		tickets, err := a.Advise(ctx, step, workers)
 		m.Call("advice.ask", time.Since(began), err)
 		return tickets, err
 	}}
--- a/services/owner/advice.go
+++ b/services/owner/advice.go
@@ -43,7 +43,7 @@
 	if !has || ctx.Err() != nil {
 		return false
 	}
-	tickets, err := o.Advisor.Ask(ctx, q.Step.String(), q.Workers)
+	tickets, err := o.Advisor.Advise(ctx, q.Step.String(), q.Workers)
 	o.change(func(p *scheduler.Pool, now time.Time) { p.HandleAdvice(q, tickets, err, now) })
 	if err != nil {
 		select {
--- a/services/owner/fence_test.go
+++ b/services/owner/fence_test.go
@@ -44,7 +44,7 @@
 		first.Workers.Open = func(o worker.Worker) *port.Link {
 			l := openLink(o)
 			start := l.Start
-			l.Start = func(ctx context.Context, s port.Start) port.Answer {
+			l.Start = func(ctx context.Context, s port.Start) port.Response {
 				starts.Add(1)
 				return start(ctx, s)
 			}
@@ -55,7 +55,7 @@
 		ended := make(chan error, 1)
 		go func() { ended <- first.Run(ctx) }()
 		first.Configure(config.New(1, queues, []config.Pool{{Name: "p"}}, config.Limits{}))
-		first.See(ctx, []worker.Worker{{ID: id, Instance: "i", Pool: "p", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}}}, true)
+		first.UpdateWorkers(ctx, []worker.Worker{{ID: id, Instance: "i", Pool: "p", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}}}, true)
 		synctest.Wait()
 		time.Sleep(time.Second)
 
--- a/services/owner/link.go
+++ b/services/owner/link.go
@@ -94,7 +94,7 @@
 	}
 	o.attend()
 	o.mu.Unlock()
-	if answer.Verdict != port.Taken {
+	if answer.Result != port.Accepted {
 		o.poke()
 	}
 	l.wakeLook()
@@ -129,18 +129,18 @@
 }
 
 // prepare returns the sending of an order. The lock is held.
-func (l *link) prepare(order scheduler.Order) func() port.Answer {
+func (l *link) prepare(order scheduler.Order) func() port.Response {
 	p := l.owner.pool
 	switch {
 	case order.Stop:
 		stop := p.StopOrder(order)
-		return func() port.Answer { return l.port.Stop(l.ctx, stop) }
+		return func() port.Response { return l.port.Stop(l.ctx, stop) }
 	case order.CPUShare:
 		pace := p.CPUShareOrder(order)
-		return func() port.Answer { return l.port.Pace(l.ctx, pace) }
+		return func() port.Response { return l.port.SetCPUShare(l.ctx, pace) }
 	}
 	start := p.StartOrder(order, l.owner.Clock.Now())
-	return func() port.Answer { return l.port.Start(l.ctx, start) }
+	return func() port.Response { return l.port.Start(l.ctx, start) }
 }
 
 func (l *link) wakeLook() {
@@ -206,7 +206,7 @@
 	if !known {
 		return true // the owner is about to end the link
 	}
-	listing, answer := l.port.Look(l.ctx, ask)
+	listing, answer := l.port.Poll(l.ctx, ask)
 	o.mu.Lock()
 	if l.ctx.Err() != nil {
 		o.mu.Unlock()
--- a/services/owner/overload_test.go
+++ b/services/owner/overload_test.go
@@ -70,7 +70,7 @@
 		assert.NilError(t, err)
 		list = append(list, one)
 	}
-	o.See(ctx, list, true)
+	o.UpdateWorkers(ctx, list, true)
 	time.Sleep(time.Second)
 	l := &load{t: t, world: w, owner: o, ctx: ctx, counts: make(map[string]*outcome)}
 	var callers sync.WaitGroup
--- a/services/owner/owner.go
+++ b/services/owner/owner.go
@@ -33,8 +33,8 @@
 	Logger  log.Logger
 	// Count adds one to a counter, nil for none.
 	Count func(counter string)
-	// Alone reports whether no other node answers, nil for never.
-	Alone func() bool
+	// NoPeers reports whether no other node answers, nil for never.
+	NoPeers func() bool
 
 	changed   chan struct{} // there may be something to plan or to keep
 	questions chan struct{} // there may be something to ask the advice service
@@ -91,7 +91,7 @@
 // isolate notes whether the owner could learn that another has taken over: from the
 // store, or from another node. The lock is held.
 func (o *Owner) isolate() {
-	isolated := o.Alone != nil && o.Clock.Now().Sub(o.Journal.Confirmed()) > unconfirmed && o.Alone()
+	isolated := o.NoPeers != nil && o.Clock.Now().Sub(o.Journal.Confirmed()) > unconfirmed && o.NoPeers()
 	if isolated == o.pool.Isolated {
 		return
 	}
@@ -140,9 +140,9 @@
 	o.change(func(p *scheduler.Pool, _ time.Time) { p.Configure(c) })
 }
 
-// See hands the pool what the platform's list says of its workers: those that
+// UpdateWorkers hands the pool what the platform's list says of its workers: those that
 // changed, and whether they are all that there are.
-func (o *Owner) See(ctx context.Context, listed []worker.Worker, whole bool) {
+func (o *Owner) UpdateWorkers(ctx context.Context, listed []worker.Worker, whole bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	present := make(map[worker.ID]bool, len(listed))
@@ -167,8 +167,8 @@
 	o.poke()
 }
 
-// Miss hands the pool the news that workers are listed no longer.
-func (o *Owner) Miss(ids []worker.ID) {
+// UnlistWorkers hands the pool the news that workers are listed no longer.
+func (o *Owner) UnlistWorkers(ids []worker.ID) {
 	o.change(func(p *scheduler.Pool, _ time.Time) {
 		for _, id := range ids {
 			p.UnlistWorker(id)
--- a/services/owner/report.go
+++ b/services/owner/report.go
@@ -56,9 +56,9 @@
 	return o.pool.Report(asked, o.Clock.Now()), nil
 }
 
-// Allow gives the pool other allowances, if the question brings some, and returns what it tells
+// UpdateAllowances gives the pool other allowances, if the question brings some, and returns what it tells
 // of them once it has kept what they lower.
-func (o *Owner) Allow(ctx context.Context, q quota.Question) (quota.Statement, error) {
+func (o *Owner) UpdateAllowances(ctx context.Context, q quota.Question) (quota.Statement, error) {
 	err := o.keep(ctx, func() (uint64, error) {
 		if q.Allow == nil {
 			return 0, nil
--- a/services/owner/restart_test.go
+++ b/services/owner/restart_test.go
@@ -28,9 +28,9 @@
 		o := open(t, w)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		o.See(ctx, []worker.Worker{listed}, true)
+		o.UpdateWorkers(ctx, []worker.Worker{listed}, true)
 		listed.Pool = "q"
-		o.See(ctx, []worker.Worker{listed}, false)
+		o.UpdateWorkers(ctx, []worker.Worker{listed}, false)
 		assert.Equal(t, len(o.Peek().Workers), 0)
 	})
 }
@@ -45,12 +45,12 @@
 		o.Workers.Open = func(w worker.Worker) *port.Link {
 			opened = append(opened, w.Address)
 			return &port.Link{
-				Look: func(ctx context.Context, _ port.Look) (worker.Listing, port.Answer) {
+				Poll: func(ctx context.Context, _ port.Poll) (worker.Listing, port.Response) {
 					if w.Address == "b" {
-						return worker.Listing{}, port.Answer{Verdict: port.Taken, Clock: time.Second}
+						return worker.Listing{}, port.Response{Result: port.Accepted, Clock: time.Second}
 					}
 					<-ctx.Done()
-					return worker.Listing{}, port.Answer{Verdict: port.Unknown}
+					return worker.Listing{}, port.Response{Result: port.Unknown}
 				},
 				Close: func() {},
 			}
@@ -60,10 +60,10 @@
 		go func() { ended <- o.Run(ctx) }()
 		synctest.Wait()
 		listed := worker.Worker{ID: "i-1", Pool: "p", Instance: "m-1", Address: "a", Capacity: job.Size{CPU: 1000}}
-		o.See(ctx, []worker.Worker{listed}, true)
+		o.UpdateWorkers(ctx, []worker.Worker{listed}, true)
 		synctest.Wait()
 		listed.Address = "b"
-		o.See(ctx, []worker.Worker{listed}, false)
+		o.UpdateWorkers(ctx, []worker.Worker{listed}, false)
 		synctest.Wait()
 		assert.DeepEqual(t, opened, []string{"a", "b"})
 		assert.Assert(t, o.pool.Report(scheduler.CordonRequest{}, o.Clock.Now()).Workers[0].Open)
--- a/services/owner/submit_test.go
+++ b/services/owner/submit_test.go
@@ -83,7 +83,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() { ended <- o.Run(ctx) }()
-		o.See(ctx, []worker.Worker{{ID: id, Pool: "p", Instance: "m-1", Address: string(id), Capacity: job.Size{CPU: 16000, MemoryMB: 65536}}}, true)
+		o.UpdateWorkers(ctx, []worker.Worker{{ID: id, Pool: "p", Instance: "m-1", Address: string(id), Capacity: job.Size{CPU: 16000, MemoryMB: 65536}}}, true)
 		time.Sleep(time.Second)
 		w.Set("n1", func(f *world.Faults) { f.StoreSlow = answer })
 		began, empty := time.Now(), time.Duration(0)
--- a/services/steward/doc.go
+++ b/services/ownership/doc.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package steward sees to it that every pool has an owner, and that this node
+// Package ownership sees to it that every pool has an owner, and that this node
 // owns its share of them.
-package steward
+package ownership
--- a/services/steward/hand_over.go
+++ b/services/ownership/hand_over.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package steward
+package ownership
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 
 // relieve gives the duties whose appends the store does not answer to other nodes, each
 // once, and all at once: what their owner can't keep, it refuses.
-func (s *Steward) relieve(ctx context.Context, v *directory.View) {
+func (s *Manager) relieve(ctx context.Context, v *directory.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var stuck []string
@@ -38,7 +38,7 @@
 
 // relief is one wish that other nodes take duties over.
 type relief struct {
-	s      *Steward
+	s      *Manager
 	v      *directory.View
 	duties []string
 }
@@ -50,7 +50,7 @@
 }
 
 // kept notes that no other node has taken a duty over, so that another may be asked.
-func (s *Steward) kept(duty string) {
+func (s *Manager) kept(duty string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if t := s.owned[duty]; t != nil {
@@ -59,7 +59,7 @@
 }
 
 // HandOver gives every pool of this node to another, and claims none any more.
-func (s *Steward) HandOver(ctx context.Context) {
+func (s *Manager) HandOver(ctx context.Context) {
 	s.mu.Lock()
 	s.leaving = true
 	s.mu.Unlock()
@@ -69,7 +69,7 @@
 }
 
 // giveAway asks other nodes to take duties over.
-func (s *Steward) giveAway(ctx context.Context, v *directory.View, pools []string) {
+func (s *Manager) giveAway(ctx context.Context, v *directory.View, pools []string) {
 	rest := *v
 	rest.Nodes = make(map[string]directory.Node, len(v.Nodes))
 	for name, n := range v.Nodes {
@@ -90,7 +90,7 @@
 }
 
 // settled reports whether a duty is not owned here any more, or goes on.
-func (s *Steward) settled(duty string) bool {
+func (s *Manager) settled(duty string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.owned[duty]
@@ -104,7 +104,7 @@
 // whether one has. Where none of those that are asked at once is answered, the store is away for
 // all, and whichever node is asked when it comes back would get the pool: the best are asked
 // again as long as the store does not answer.
-func (s *Steward) give(ctx context.Context, v *directory.View, pool string, heirs []string) bool {
+func (s *Manager) give(ctx context.Context, v *directory.View, pool string, heirs []string) bool {
 	for len(heirs) > 0 {
 		n := min(len(heirs), offersAtOnce)
 		able := s.able(ctx, v, heirs[:n])
@@ -120,10 +120,10 @@
 }
 
 // giveTo asks nodes that the store answers, one after the other, to take a pool over.
-func (s *Steward) giveTo(ctx context.Context, v *directory.View, pool string, able []string) bool {
+func (s *Manager) giveTo(ctx context.Context, v *directory.View, pool string, able []string) bool {
 	for _, name := range able {
 		bounded, cancel := context.WithTimeout(ctx, giveTimeout)
-		o, err := s.Take(bounded, v.Nodes[name], pool)
+		o, err := s.RequestTakeOver(bounded, v.Nodes[name], pool)
 		cancel()
 		if err == nil {
 			s.Directory.Learn(o)
--- a/services/steward/improve.go
+++ b/services/ownership/improve.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package steward
+package ownership
 
 import (
 	"context"
@@ -26,7 +26,7 @@
 )
 
 // improve gives one duty to a much better node, if there is one.
-func (s *Steward) improve(ctx context.Context, v *directory.View) {
+func (s *Manager) improve(ctx context.Context, v *directory.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leaving || len(s.owned) == 0 {
@@ -51,7 +51,7 @@
 }
 
 // best returns the other node that can carry most for one more duty, "" for none.
-func (s *Steward) best(v *directory.View, owns map[string]int, now time.Time) string {
+func (s *Manager) best(v *directory.View, owns map[string]int, now time.Time) string {
 	best, least := "", 0.0
 	for name, n := range v.Nodes {
 		if name == s.Directory.Self.Name || s.isUnable(name, now) || s.Clock.Date(now).Sub(time.Unix(0, int64(n.Life))) < provedAfter { //nolint:gosec // a time
@@ -77,7 +77,7 @@
 
 // upgrade is one wish that a better node takes a duty over.
 type upgrade struct {
-	s    *Steward
+	s    *Manager
 	v    *directory.View
 	duty string
 	to   string
--- a/services/steward/offer.go
+++ b/services/ownership/offer.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package steward
+package ownership
 
 import (
 	"context"
@@ -35,7 +35,7 @@
 
 // offer is a question to a node whether it could take a pool over, and its answer.
 type offer struct {
-	s       *Steward
+	s       *Manager
 	node    directory.Node
 	err     error
 	answers chan<- *offer
@@ -43,13 +43,13 @@
 
 // run asks the node.
 func (o *offer) run(ctx context.Context) {
-	o.err = o.s.Offer(ctx, o.node)
+	o.err = o.s.ProbeTakeOver(ctx, o.node)
 	o.answers <- o
 }
 
 // able returns those of some nodes that the store answers, in their order. It does not wait
 // for those that are silent once one has answered.
-func (s *Steward) able(ctx context.Context, v *directory.View, names []string) []string {
+func (s *Manager) able(ctx context.Context, v *directory.View, names []string) []string {
 	bounded, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
 	answers := make(chan *offer, len(names))
@@ -79,7 +79,7 @@
 }
 
 // setUnable notes that a node can't take a pool over for now.
-func (s *Steward) setUnable(name string) {
+func (s *Manager) setUnable(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.unable == nil {
@@ -89,7 +89,7 @@
 }
 
 // isUnable reports whether a node could not take a pool over a moment ago. The lock is held.
-func (s *Steward) isUnable(name string, now time.Time) bool { return now.Before(s.unable[name]) }
+func (s *Manager) isUnable(name string, now time.Time) bool { return now.Before(s.unable[name]) }
 
 // heirPatience is how long the nodes that come first for a pool without an owner may take
 // until the next one asks whether the store answers them: they take it over in 0.1 s.
@@ -97,7 +97,7 @@
 
 // succession is a question of a pool's heir to those that come before it.
 type succession struct {
-	s      *Steward
+	s      *Manager
 	v      *directory.View
 	pool   string
 	before []string
@@ -115,7 +115,7 @@
 
 // succeed asks the heirs of a pool that come before this node for it, once for each time that
 // it has no owner.
-func (s *Steward) succeed(ctx context.Context, v *directory.View, pool string, before []string) {
+func (s *Manager) succeed(ctx context.Context, v *directory.View, pool string, before []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	since := s.orphaned[pool]
--- a/services/steward/steward.go
+++ b/services/ownership/steward.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package steward
+package ownership
 
 import (
 	"cmp"
@@ -18,8 +18,8 @@
 	"github.com/yardbridge/yardbridge/services/directory"
 )
 
-// Tenant is what does a duty while this node owns it.
-type Tenant struct {
+// RoleRunner is what does a duty while this node owns it.
+type RoleRunner struct {
 	Claim func(ctx context.Context, node string) error // makes this node the owner
 	Run   func(ctx context.Context) error              // until it is the owner no longer
 	Stuck func(least time.Duration) bool               // whether an append has been under way for so long, or longer where the store is slow
@@ -31,28 +31,28 @@
 	since  time.Time          // when it was claimed
 }
 
-// Steward claims pools that have no owner; its fields are set before Run. Lock
+// Manager claims pools that have no owner; its fields are set before Run. Lock
 // order: mu is the only lock, and nothing that waits is called under it.
-type Steward struct {
+type Manager struct {
 	Directory *directory.Directory
 	Clock     clock.Clock
 	Logger    log.Logger
 	// Config returns the newest configuration, nil before the first.
 	Config func() *config.Config
-	// Duties returns what must have an owner by a configuration: its pools, and
+	// Roles returns what must have an owner by a configuration: its pools, and
 	// what is done for all of them.
-	Duties func(c *config.Config) []string
+	Roles func(c *config.Config) []string
 	// Open returns a tenant for a duty whose partition lies in a slot, not yet
 	// claimed.
-	Open func(duty string, slot int) *Tenant
-	// Offer asks another node whether it could take a pool over: the store answers it.
-	Offer func(ctx context.Context, n directory.Node) error
-	// Take asks another node to take a pool over.
-	Take func(ctx context.Context, n directory.Node, pool string) (directory.Ownership, error)
+	Open func(duty string, slot int) *RoleRunner
+	// ProbeTakeOver asks another node whether it could take a pool over: the store answers it.
+	ProbeTakeOver func(ctx context.Context, n directory.Node) error
+	// RequestTakeOver asks another node to take a pool over.
+	RequestTakeOver func(ctx context.Context, n directory.Node, pool string) (directory.Ownership, error)
 
 	mu       sync.Mutex
 	running  context.Context // of Run; a duty that another node has asked to take over ends with it
-	owned    map[string]*Tenant
+	owned    map[string]*RoleRunner
 	claiming map[string]bool
 	refused  map[string]error     // why a pool was not claimed last, nil where it was
 	orphaned map[string]time.Time // since when a pool has no owner that is present
@@ -70,7 +70,7 @@
 )
 
 // Run claims pools until the context ends.
-func (s *Steward) Run(ctx context.Context) {
+func (s *Manager) Run(ctx context.Context) {
 	began := s.Clock.Now()
 	s.mu.Lock()
 	s.running = ctx
@@ -90,14 +90,14 @@
 }
 
 // Owned returns the duties that this node owns, in order.
-func (s *Steward) Owned() []string {
+func (s *Manager) Owned() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Sorted(maps.Keys(s.owned))
 }
 
 // look claims the pools without an owner that this node is the heir of.
-func (s *Steward) look(ctx context.Context, v *directory.View, settled bool) {
+func (s *Manager) look(ctx context.Context, v *directory.View, settled bool) {
 	c := s.Config()
 	if c == nil {
 		return
@@ -124,7 +124,7 @@
 
 // yield ends the tenancies that another node has taken over, which their epoch in
 // the directory tells: one that appends nothing would not learn it otherwise.
-func (s *Steward) yield(v *directory.View) {
+func (s *Manager) yield(v *directory.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for duty, t := range s.owned {
@@ -137,14 +137,14 @@
 }
 
 // orphans returns the pools without an owner that is present, in order.
-func (s *Steward) orphans(c *config.Config, v *directory.View) []string {
+func (s *Manager) orphans(c *config.Config, v *directory.View) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.orphaned == nil {
 		s.orphaned = make(map[string]time.Time)
 	}
 	var list []string
-	for _, d := range s.Duties(c) {
+	for _, d := range s.Roles(c) {
 		n, _, present := v.Owner(d)
 		if present && (n.Name != s.Directory.Self.Name || s.owned[d] != nil || s.claiming[d]) {
 			delete(s.orphaned, d)
@@ -159,7 +159,7 @@
 	return list
 }
 
-func (s *Steward) since(pool string) time.Duration {
+func (s *Manager) since(pool string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Clock.Now().Sub(s.orphaned[pool])
--- a/services/steward/tenure.go
+++ b/services/ownership/tenure.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package steward
+package ownership
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 )
 
 // claim begins to claim a pool unless that is under way.
-func (s *Steward) claim(pool string) {
+func (s *Manager) claim(pool string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leaving || s.running == nil || s.running.Err() != nil || s.Config() == nil || s.owned[pool] != nil || s.claiming[pool] {
@@ -21,7 +21,7 @@
 	if s.claiming == nil {
 		s.claiming = make(map[string]bool)
 		s.refused = make(map[string]error)
-		s.owned = make(map[string]*Tenant)
+		s.owned = make(map[string]*RoleRunner)
 	}
 	s.claiming[pool] = true
 	s.tasks.Add(1)
@@ -30,7 +30,7 @@
 
 // tenure is the ownership of one pool by this node, from the claim to the end.
 type tenure struct {
-	s    *Steward
+	s    *Manager
 	pool string
 }
 
@@ -61,9 +61,9 @@
 }
 
 // claim claims the pool and tells all nodes.
-func (t tenure) claim(ctx context.Context) (*Tenant, error) {
+func (t tenure) claim(ctx context.Context) (*RoleRunner, error) {
 	self := t.s.Directory.Self
-	slot, err := t.s.Directory.Slot(ctx, t.pool, t.s.Duties(t.s.Config()))
+	slot, err := t.s.Directory.Slot(ctx, t.pool, t.s.Roles(t.s.Config()))
 	if err != nil {
 		return nil, err
 	}
@@ -77,9 +77,9 @@
 
 // telling publishes an ownership until that has succeeded.
 type telling struct {
-	s         *Steward
+	s         *Manager
 	ownership directory.Ownership
-	tenant    *Tenant
+	tenant    *RoleRunner
 }
 
 // run publishes the ownership.
@@ -100,9 +100,9 @@
 	}
 }
 
-// Assume claims a pool at the wish of its owner, and returns the ownership once
+// TakeOver claims a pool at the wish of its owner, and returns the ownership once
 // it is owned here.
-func (s *Steward) Assume(ctx context.Context, pool string) (directory.Ownership, error) {
+func (s *Manager) TakeOver(ctx context.Context, pool string) (directory.Ownership, error) {
 	s.claim(pool)
 	for {
 		s.mu.Lock()
@@ -126,7 +126,7 @@
 }
 
 // ownership returns what the directory is to say of a duty that this node owns.
-func (s *Steward) ownership(duty string, t *Tenant) directory.Ownership {
+func (s *Manager) ownership(duty string, t *RoleRunner) directory.Ownership {
 	self := s.Directory.Self
 	o := directory.Ownership{Pool: duty, Epoch: t.Epoch(), Node: self.Name, Life: self.Life}
 	if v, _ := s.Directory.View(); v != nil {
--- a/services/port/feed.go
+++ b/services/port/feed.go
@@ -21,6 +21,6 @@
 	// DecodeWave returns false for a record that is no wave.
 	DecodeWave   func(Record) (wave.Wave, bool, error)
 	DecodeWorker func(Record) (worker.Worker, error)
-	// TellWave tells the operators that a wave runs or is done.
-	TellWave func(ctx context.Context, s Store, number int, done bool) error
+	// ReportWave tells the operators that a wave runs or is done.
+	ReportWave func(ctx context.Context, s Store, number int, done bool) error
 }
--- a/services/port/instance.go
+++ b/services/port/instance.go
@@ -32,8 +32,8 @@
 	Worker     worker.ID // its life, "" for none
 }
 
-// Permit names who gives an order to an instance, and with which right.
-type Permit struct {
+// Issuer names who gives an order to an instance, and with which right.
+type Issuer struct {
 	Holder string
 	Token  uint64
 }
@@ -45,10 +45,10 @@
 type Instances struct {
 	List func(ctx context.Context) ([]Instance, error)
 	// Move takes an instance to a pool; all that runs there dies at once.
-	Move func(ctx context.Context, p Permit, instance, pool string) error
+	Move func(ctx context.Context, p Issuer, instance, pool string) error
 	// Maintain takes an instance down for the maintenance of a wave; all that
 	// runs there dies at once.
-	Maintain func(ctx context.Context, p Permit, instance string, wave int) error
+	Maintain func(ctx context.Context, p Issuer, instance string, wave int) error
 }
 
 // Ticket lets a step run on a worker.
@@ -59,6 +59,6 @@
 
 // Advisor is the service that knows which workers may run a step.
 type Advisor struct {
-	// Ask returns tickets for those of the workers that may run the step.
-	Ask func(ctx context.Context, step string, workers []worker.ID) ([]Ticket, error)
+	// Advise returns tickets for those of the workers that may run the step.
+	Advise func(ctx context.Context, step string, workers []worker.ID) ([]Ticket, error)
 }
--- a/services/port/store.go
+++ b/services/port/store.go
@@ -11,7 +11,7 @@
 // Partition names one partition of a topic of the store.
 type Partition struct {
 	Topic string
-	Part  int
+	Index int
 }
 
 // Record is one record under a key; one without a value takes the key away.
--- a/services/rollout/rollout.go
+++ b/services/rollout/rollout.go
@@ -37,11 +37,11 @@
 
 // Request is a file to apply.
 type Request struct {
-	File     manifest.File
-	Base     *uint64 // version that it was written against, nil for the newest
-	Operator string
-	Team     string // whose objects alone may change, empty for all
-	Short    bool   // accept a file that asks for more instances than there are
+	File          manifest.File
+	Base          *uint64 // version that it was written against, nil for the newest
+	Operator      string
+	Team          string // whose objects alone may change, empty for all
+	AllowShortage bool   // accept a file that asks for more instances than there are
 }
 
 // Result is an accepted change.
@@ -133,7 +133,7 @@
 	if err != nil {
 		return result, err
 	}
-	if !q.Short && len(result.Preview.Shortages) > 0 {
+	if !q.AllowShortage && len(result.Preview.Shortages) > 0 {
 		short := result.Preview.Shortages[0]
 		return result, errkind.New(errkind.Infeasible, "pool %s asks for %d instances and would get %d: %s; apply with short=true to accept that",
 			short.Pool, short.Wanted, short.Present, short.Reason)
--- a/services/scheduler/answers.go
+++ b/services/scheduler/answers.go
@@ -14,12 +14,12 @@
 
 // HandleOrderResponse takes a worker's answer to an order. It returns whether the order is
 // to be given again.
-func (p *Pool) HandleOrderResponse(o Order, a port.Answer, now time.Time) bool {
+func (p *Pool) HandleOrderResponse(o Order, a port.Response, now time.Time) bool {
 	w := o.Run.at
 	p.stamp++
 	p.heard(w, a, now)
-	overtaken := a.Verdict == port.TooLow && o.raised < w.raised // by an order with a higher token of this owner's
-	if o.starts() && (a.Verdict == port.OtherLife || overtaken) && !o.Run.unsure {
+	overtaken := a.Result == port.TokenTooLow && o.raised < w.raised // by an order with a higher token of this owner's
+	if o.starts() && (a.Result == port.OtherIncarnation || overtaken) && !o.Run.unsure {
 		p.neverBegun(o.Run)
 	}
 	if o.Run.phase == over {
@@ -33,7 +33,7 @@
 	case o.Stop:
 		return p.stopAnswered(o.Run, a, now)
 	case o.CPUShare:
-		return a.Verdict == port.Unknown || a.Verdict == port.Unreached
+		return a.Result == port.Unknown || a.Result == port.Unreachable
 	}
 	return p.startAnswered(o.Run, a, now)
 }
@@ -45,19 +45,19 @@
 	p.takeBackOf(u.at.life(), u.ref, func(crash) bool { return true }, "its order has not reached the worker")
 }
 
-func (p *Pool) startAnswered(u *run, a port.Answer, now time.Time) bool {
+func (p *Pool) startAnswered(u *run, a port.Response, now time.Time) bool {
 	e := p.Logger.Info().Str("event", "start").Str("task", u.name).Int("run", u.number).Str("worker", string(u.at.info.ID)).
-		Str("outcome", string(a.Verdict)).Int("try", u.tries).Dur("kept_for", now.Sub(u.kept)).Dur("sent_for", now.Sub(u.sentAt)).
+		Str("outcome", string(a.Result)).Int("try", u.tries).Dur("kept_for", now.Sub(u.kept)).Dur("sent_for", now.Sub(u.sentAt)).
 		Str("job_state", string(u.job.state))
 	if a.Err != nil {
 		e = e.Str("err", a.Err.Error())
 	}
 	e.Msg("a start was answered")
-	if u.phase == running && !tellsOfRun(a.Verdict) {
+	if u.phase == running && !tellsOfRun(a.Result) {
 		return false // a look has shown the run meanwhile, which an earlier order has begun
 	}
-	switch a.Verdict {
-	case port.Taken:
+	switch a.Result {
+	case port.Accepted:
 		u.ack = p.stamp
 		if u.phase == ordered {
 			u.phase = running
@@ -77,22 +77,22 @@
 		u.unsure = false
 		u.at.wantLook = true
 		return false
-	case port.OtherLife:
+	case port.OtherIncarnation:
 		p.lifeOver(u.at, now, endedItself, "another life answers")
 		return false
 	}
-	if a.Verdict == port.Unreached {
+	if a.Result == port.Unreachable {
 		return p.startUnreached(u, a, now)
 	}
 	// Nothing was done by this order; an earlier one for the same run that got
 	// no answer may be carried out yet, which a stop prevents.
-	p.refusedBy(u, a.Verdict, now)
+	p.refusedBy(u, a.Result, now)
 	if u.unsure {
 		p.stop(u, now, "refused, and an earlier order may be under way")
 		p.breakGang(u, now, "refused")
 		return false
 	}
-	if a.Verdict == port.BadTicket {
+	if a.Result == port.BadTicket {
 		u.at.forgetTicket(u.ref.StepRef)
 	}
 	p.release(u)
@@ -102,13 +102,13 @@
 
 // tellsOfRun reports whether the answer to a start tells something of the run itself
 // and not just of this order.
-func tellsOfRun(v port.Verdict) bool {
-	return v == port.Taken || v == port.Outdated || v == port.OtherLife
+func tellsOfRun(v port.Result) bool {
+	return v == port.Accepted || v == port.Outdated || v == port.OtherIncarnation
 }
 
 // startUnreached takes the news that a start was not sent. The run waits for its
 // worker no longer, unless an earlier start for it was sent.
-func (p *Pool) startUnreached(u *run, a port.Answer, now time.Time) bool {
+func (p *Pool) startUnreached(u *run, a port.Response, now time.Time) bool {
 	u.sent = u.unsure
 	p.missed(u.at, a, now)
 	if !u.sent {
@@ -117,17 +117,17 @@
 	return u.unsure
 }
 
-func (p *Pool) stopAnswered(u *run, a port.Answer, now time.Time) bool {
-	switch a.Verdict {
-	case port.Taken:
+func (p *Pool) stopAnswered(u *run, a port.Response, now time.Time) bool {
+	switch a.Result {
+	case port.Accepted:
 		u.stopped = true
 		u.unsure = false
 		u.ack = p.stamp
 		u.at.wantLook = true
 		return false
-	case port.Unknown, port.Unreached, port.Refused:
+	case port.Unknown, port.Unreachable, port.Refused:
 		return true
-	case port.OtherLife:
+	case port.OtherIncarnation:
 		p.lifeOver(u.at, now, endedItself, "another life answers")
 		return false
 	}
--- a/services/scheduler/crash_test.go
+++ b/services/scheduler/crash_test.go
@@ -16,7 +16,7 @@
 )
 
 // otherLife is the answer of a later life of an instance.
-var otherLife = port.Answer{Verdict: port.OtherLife}
+var otherLife = port.Response{Result: port.OtherIncarnation}
 
 // life lists a fresh life of an instance and has it answer a look.
 func (d *desk) life(instance string, n int) worker.ID {
@@ -56,7 +56,7 @@
 // cutOff has a worker silent until its leases are over.
 func (d *desk) cutOff(id worker.ID) {
 	d.t.Helper()
-	d.look(id, worker.Listing{}, port.Answer{Verdict: port.Unknown})
+	d.look(id, worker.Listing{}, port.Response{Result: port.Unknown})
 	d.now = d.now.Add(10 * time.Second)
 	d.ExpireLeases(d.now)
 }
@@ -322,7 +322,7 @@
 	d.keep()
 	o, _ := d.NextOrder(id, d.now)
 	d.StartOrder(o, d.now)
-	assert.Assert(t, d.HandleOrderResponse(o, port.Answer{Verdict: port.Unknown}, d.now))
+	assert.Assert(t, d.HandleOrderResponse(o, port.Response{Result: port.Unknown}, d.now))
 	d.HandleOrderResponse(o, otherLife, d.now)
 	assert.Equal(t, len(o.Run.task().crashes), 1)
 }
@@ -365,7 +365,7 @@
 	d.keep()
 	o, _ := d.NextOrder(b, d.now)
 	d.StartOrder(o, d.now)
-	assert.Assert(t, d.HandleOrderResponse(o, port.Answer{Verdict: port.Unknown}, d.now))
+	assert.Assert(t, d.HandleOrderResponse(o, port.Response{Result: port.Unknown}, d.now))
 	d.crash(b)
 	assert.Equal(t, len(d.firstTask("1").crashes), 2)
 	assert.Equal(t, d.state("1"), job.Running)
--- a/services/scheduler/gang_test.go
+++ b/services/scheduler/gang_test.go
@@ -103,7 +103,7 @@
 func TestGangOfWhichAWorkerFallsSilent(t *testing.T) {
 	d := gangOnTwo(t)
 	assert.Equal(t, d.begin("a"), 1)
-	d.look("b", worker.Listing{}, port.Answer{Verdict: port.Unknown})
+	d.look("b", worker.Listing{}, port.Response{Result: port.Unknown})
 	assert.Equal(t, d.begin("b"), 0)
 	d.keep()
 	assert.Assert(t, !d.goesOn("a"), "a member of a gang waits for one that was given up")
@@ -117,7 +117,7 @@
 	order, has := d.NextOrder("b", d.now)
 	assert.Assert(t, has)
 	d.StartOrder(order, d.now)
-	assert.Assert(t, !d.HandleOrderResponse(order, port.Answer{Verdict: port.NoRoom, Clock: heard.Clock}, d.now))
+	assert.Assert(t, !d.HandleOrderResponse(order, port.Response{Result: port.NoCapacity, Clock: heard.Clock}, d.now))
 	d.keep()
 	assert.Assert(t, !d.goesOn("a"), "a member of a gang waits for one that was refused")
 }
--- a/services/scheduler/lateend_test.go
+++ b/services/scheduler/lateend_test.go
@@ -25,7 +25,7 @@
 	assert.Assert(t, has)
 	d.StartOrder(order, d.now)
 	d.HandleOrderResponse(order, heard, d.now)
-	d.look("w", worker.Listing{}, port.Answer{Verdict: port.Unknown})
+	d.look("w", worker.Listing{}, port.Response{Result: port.Unknown})
 	d.now = d.now.Add(10 * time.Second)
 	d.ExpireLeases(d.now)
 	assert.Equal(t, d.waitingTasks("1"), 1)
--- a/services/scheduler/leave_test.go
+++ b/services/scheduler/leave_test.go
@@ -71,7 +71,7 @@
 	d.keep()
 	order, has := d.NextOrder("a", d.now)
 	assert.Assert(t, has && order.Stop)
-	assert.Assert(t, d.HandleOrderResponse(order, port.Answer{Verdict: port.Unknown}, d.now))
+	assert.Assert(t, d.HandleOrderResponse(order, port.Response{Result: port.Unknown}, d.now))
 	d.Retry(order, d.now)
 
 	leaving := d.workers[other].info
@@ -105,7 +105,7 @@
 	cordon(d, CordonRequest{Workers: []CordonedWorker{{ID: "a"}}})
 	d.keep()
 	order, _ := d.NextOrder("a", d.now)
-	d.HandleOrderResponse(order, port.Answer{Verdict: port.Unknown}, d.now)
+	d.HandleOrderResponse(order, port.Response{Result: port.Unknown}, d.now)
 	d.Retry(order, d.now)
 	leaving := d.workers[other].info
 	leaving.Draining = true
--- a/services/scheduler/look.go
+++ b/services/scheduler/look.go
@@ -16,7 +16,7 @@
 type Poll struct {
 	worker *workerState
 	stamp  uint64
-	ask    port.Look
+	ask    port.Poll
 	sent   time.Time
 	before time.Duration // the worker's latest deadline without it
 	raised uint64        // part of its token
@@ -24,17 +24,17 @@
 
 // BeginPoll returns the look to send to a worker, and false where the worker is
 // not known any more.
-func (p *Pool) BeginPoll(id worker.ID, wait time.Duration, now time.Time) (Poll, port.Look, bool) {
+func (p *Pool) BeginPoll(id worker.ID, wait time.Duration, now time.Time) (Poll, port.Poll, bool) {
 	w := p.workers[id]
 	if w == nil {
-		return Poll{}, port.Look{}, false
+		return Poll{}, port.Poll{}, false
 	}
 	p.stamp++
 	w.wantLook = false
-	ask := port.Look{Token: p.token(w), Wait: wait}
+	ask := port.Poll{Token: p.token(w), Wait: wait}
 	if w.told < w.kept && !w.unproven && w.silent.IsZero() {
 		if w.withheld = !w.mayForget(now); !w.withheld {
-			ask.Seen = w.kept
+			ask.Acknowledged = w.kept
 		}
 	}
 	before := w.deadline
@@ -43,45 +43,45 @@
 		ask.Deadline = w.extend(now, p.Limits.Lease)
 		w.extendedBy = p.stamp
 	}
-	if max(ask.Seen, w.told) < w.seen || w.unproven {
+	if max(ask.Acknowledged, w.told) < w.seen || w.unproven {
 		ask.Wait = 0 // it would answer at once with ends that are known, or has to
 	}
 	return Poll{w, p.stamp, ask, now, before, w.raised}, ask, true
 }
 
 // EndPoll takes the answer to a look.
-func (p *Pool) EndPoll(k Poll, listing worker.Listing, a port.Answer, now time.Time) {
+func (p *Pool) EndPoll(k Poll, listing worker.Listing, a port.Response, now time.Time) {
 	w := k.worker
 	if p.workers[w.info.ID] != w {
 		return
 	}
 	w.looked = now
-	if a.Verdict == port.Taken && w.born > 0 && listing.Born == 0 {
-		a = port.Answer{Verdict: port.Unknown, Err: errkind.New(errkind.OutcomeUnknown, "a list of runs without the start of its worker")}
+	if a.Result == port.Accepted && w.born > 0 && listing.Born == 0 {
+		a = port.Response{Result: port.Unknown, Err: errkind.New(errkind.OutcomeUnknown, "a list of runs without the start of its worker")}
 	}
-	if a.Verdict == port.Taken && w.born > 0 && listing.Born != w.born {
+	if a.Result == port.Accepted && w.born > 0 && listing.Born != w.born {
 		if w = p.restarted(w, k, listing, now); w == nil {
 			return
 		}
 		w.looked = now
 	}
-	if a.Verdict != port.Taken && p.tryElsewhere(w, a.Verdict) {
+	if a.Result != port.Accepted && p.tryElsewhere(w, a.Result) {
 		return
 	}
 	p.heard(w, a, now)
-	switch a.Verdict {
-	case port.Taken:
-	case port.OtherLife:
+	switch a.Result {
+	case port.Accepted:
+	case port.OtherIncarnation:
 		p.lifeOver(w, now, endedItself, "another life answers")
 		return
-	case port.Unreached:
+	case port.Unreachable:
 		if w.extendedBy == k.stamp {
 			w.deadline = max(k.before, w.orderedTo) // it was not sent, and no other look since
 		}
 		p.missed(w, a, now)
 		return
 	default:
-		if w.heardAt.After(k.sent) || a.Verdict == port.TooLow && k.raised < w.raised {
+		if w.heardAt.After(k.sent) || a.Result == port.TokenTooLow && k.raised < w.raised {
 			w.wantLook = true // it answers other calls
 			p.raise(w)
 			return
@@ -105,7 +105,7 @@
 	p.acquit(w.life())
 	w.listedAt = now
 	w.lingers = !w.listed
-	w.told = max(w.told, k.ask.Seen)
+	w.told = max(w.told, k.ask.Acknowledged)
 	if w.rivals {
 		p.outlived(w, k.sent, now)
 	}
@@ -130,14 +130,14 @@
 // missed notes that a worker did not answer. What was not sent there yet goes
 // elsewhere; what was is kept alive no longer, and has surely ended once its
 // lease has lapsed.
-func (p *Pool) missed(w *workerState, a port.Answer, now time.Time) {
+func (p *Pool) missed(w *workerState, a port.Response, now time.Time) {
 	if !w.silent.IsZero() {
 		return
 	}
 	w.silent = now
 	p.suspectRestart(w)
 	e := p.Logger.Info().Str("event", "worker").Str("worker", string(w.info.ID)).Int("runs", len(w.runs)).
-		Time("lapses", w.lapses()).Str("outcome", string(a.Verdict))
+		Time("lapses", w.lapses()).Str("outcome", string(a.Result))
 	if a.Err != nil {
 		e = e.Str("err", a.Err.Error())
 	}
--- a/services/scheduler/order.go
+++ b/services/scheduler/order.go
@@ -53,6 +53,6 @@
 }
 
 // CPUShareOrder returns the order to let the run work at its share.
-func (p *Pool) CPUShareOrder(o Order) port.Pace {
-	return port.Pace{Task: o.Run.name, Number: o.Run.number, Percent: o.Run.pace, Token: p.token(o.Run.at)}
+func (p *Pool) CPUShareOrder(o Order) port.CPUShare {
+	return port.CPUShare{Task: o.Run.name, Number: o.Run.number, Percent: o.Run.pace, Token: p.token(o.Run.at)}
 }
--- a/services/scheduler/orders.go
+++ b/services/scheduler/orders.go
@@ -100,7 +100,7 @@
 		return
 	}
 	if w.doubted {
-		p.missed(w, port.Answer{Verdict: port.Unknown}, now)
+		p.missed(w, port.Response{Result: port.Unknown}, now)
 	}
 	w.doubted = true
 	w.wantLook = true
--- a/services/scheduler/restart.go
+++ b/services/scheduler/restart.go
@@ -181,11 +181,11 @@
 // tryElsewhere has the next look at a worker that may have started again go to its other
 // address, where it has two. It reports whether the answer of another worker has come from the
 // address of an entry, which tells nothing of the start that is known.
-func (p *Pool) tryElsewhere(w *workerState, v port.Verdict) bool {
+func (p *Pool) tryElsewhere(w *workerState, v port.Result) bool {
 	if !w.unproven || w.hint == nil {
 		return false
 	}
-	foreign := w.atHint && v == port.OtherLife
+	foreign := w.atHint && v == port.OtherIncarnation
 	p.reachAt(w, !w.atHint)
 	if foreign {
 		w.checked, w.hint, w.wantLook = w.hint.Born, nil, true
--- a/services/scheduler/restart_test.go
+++ b/services/scheduler/restart_test.go
@@ -107,7 +107,7 @@
 	seen := func(d *desk) int {
 		k, ask, _ := d.BeginPoll("w", 0, d.now)
 		d.EndPoll(k, worker.Listing{Born: 1000, Runs: []worker.Run{{Task: "1.0.0.1", Number: 1}}}, heard, d.now)
-		return ask.Seen
+		return ask.Acknowledged
 	}
 	d := newDesk(t, 1)
 	d.serveAs(1000)
@@ -139,9 +139,9 @@
 	starts, _ := d.orders("w")
 	assert.Equal(t, starts, 0)
 	k, ask, _ := d.BeginPoll("w", time.Second, d.now)
-	assert.Assert(t, ask.Token > token && ask.Deadline == 0 && ask.Wait == 0 && ask.Seen == 0, "%+v", ask)
+	assert.Assert(t, ask.Token > token && ask.Deadline == 0 && ask.Wait == 0 && ask.Acknowledged == 0, "%+v", ask)
 	d.EndPoll(k, worker.Listing{Born: 2000}, heard, d.now)
-	d.HandleOrderResponse(before, port.Answer{Verdict: port.TooLow, Clock: time.Hour}, d.now)
+	d.HandleOrderResponse(before, port.Response{Result: port.TokenTooLow, Clock: time.Hour}, d.now)
 	assert.Assert(t, d.workers["w"].clock < time.Hour, "the clock of a start is not that of the one before")
 	d.keep()
 	starts, _ = d.orders("w")
@@ -169,7 +169,7 @@
 	d.submit("1", 1)
 	order := d.give()
 	token := d.token(order.Run.at)
-	assert.Assert(t, d.HandleOrderResponse(order, port.Answer{Verdict: port.Unknown}, d.now))
+	assert.Assert(t, d.HandleOrderResponse(order, port.Response{Result: port.Unknown}, d.now))
 	d.Retry(order, d.now)
 	assert.Assert(t, d.token(order.Run.at) > token)
 }
@@ -220,7 +220,7 @@
 	stop, has := d.NextOrder("w", d.now)
 	assert.Assert(t, has && stop.Stop)
 	d.raise(stop.Run.at)
-	assert.Assert(t, !d.HandleOrderResponse(stop, port.Answer{Verdict: port.TooLow}, d.now))
+	assert.Assert(t, !d.HandleOrderResponse(stop, port.Response{Result: port.TokenTooLow}, d.now))
 	_, stops := d.orders("w")
 	assert.Equal(t, stops, 1)
 }
@@ -277,9 +277,9 @@
 	next.Address = "b"
 	d.UpdateWorker(next)
 	assert.Equal(t, at(), "b")
-	d.look("w", worker.Listing{}, port.Answer{Verdict: port.Unreached})
+	d.look("w", worker.Listing{}, port.Response{Result: port.Unreachable})
 	assert.Equal(t, at(), "a")
-	d.look("w", worker.Listing{}, port.Answer{Verdict: port.Unreached})
+	d.look("w", worker.Listing{}, port.Response{Result: port.Unreachable})
 	assert.Equal(t, at(), "b")
 	d.look("w", worker.Listing{}, otherLife)
 	assert.Equal(t, at(), "a")
@@ -296,7 +296,7 @@
 // while it is not reached.
 func TestAWorkerThatIsListedAgainIsNotForgotten(t *testing.T) {
 	d := newDeskWithRun(t)
-	d.look("w", worker.Listing{}, port.Answer{Verdict: port.Unknown})
+	d.look("w", worker.Listing{}, port.Response{Result: port.Unknown})
 	d.UnlistWorker("w")
 	d.UpdateWorker(restartable(2000))
 	d.now = d.now.Add(time.Minute)
@@ -355,7 +355,7 @@
 	order := d.give()
 	d.answer(2000)
 	assert.Equal(t, len(d.firstTask("1").crashes), 1)
-	d.HandleOrderResponse(order, port.Answer{Verdict: port.TooLow}, d.now)
+	d.HandleOrderResponse(order, port.Response{Result: port.TokenTooLow}, d.now)
 	assert.Equal(t, len(d.firstTask("1").crashes), 0)
 }
 
--- a/services/scheduler/stale_test.go
+++ b/services/scheduler/stale_test.go
@@ -28,7 +28,7 @@
 	order, has := d.NextOrder(id, d.now)
 	assert.Assert(d.t, has && !order.Stop)
 	d.StartOrder(order, d.now)
-	if d.HandleOrderResponse(order, port.Answer{Verdict: port.Unknown}, d.now) {
+	if d.HandleOrderResponse(order, port.Response{Result: port.Unknown}, d.now) {
 		d.Retry(order, d.now)
 	}
 }
--- a/services/scheduler/takeover_test.go
+++ b/services/scheduler/takeover_test.go
@@ -38,7 +38,7 @@
 }
 
 // heard is a worker's answer to a look or an order that it has taken.
-var heard = port.Answer{Verdict: port.Taken, Clock: 100 * time.Second}
+var heard = port.Response{Result: port.Accepted, Clock: 100 * time.Second}
 
 // serve lists the worker "w" and has it answer a look.
 func (d *desk) serve() {
@@ -56,7 +56,7 @@
 func (d *desk) firstTask(id job.ID) *taskState { return &d.jobs[id].rounds[0].steps[0].tasks[0] }
 
 // look has a worker answer one look.
-func (d *desk) look(id worker.ID, listing worker.Listing, a port.Answer) {
+func (d *desk) look(id worker.ID, listing worker.Listing, a port.Response) {
 	d.t.Helper()
 	k, _, known := d.BeginPoll(id, 0, d.now)
 	assert.Assert(d.t, known)
@@ -91,7 +91,7 @@
 	assert.NilError(t, second.Restore(records, second.now, time.Minute))
 	running := worker.Listing{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1}}}
 	second.look("w", running, heard)
-	second.look("w", worker.Listing{}, port.Answer{Verdict: port.Unreached})
+	second.look("w", worker.Listing{}, port.Response{Result: port.Unreachable})
 	second.now = second.now.Add(testLimits.Lease)
 	second.ExpireLeases(second.now)
 	assert.Equal(t, len(second.firstTask("1").runs), 1, "the run is given up while its lease holds")
@@ -115,7 +115,7 @@
 	k, _, _ := d.BeginPoll("w", 0, d.now)
 	order, _ = d.NextOrder("w", d.now)
 	sent := d.StartOrder(order, d.now)
-	d.EndPoll(k, worker.Listing{}, port.Answer{Verdict: port.Unreached}, d.now)
+	d.EndPoll(k, worker.Listing{}, port.Response{Result: port.Unreachable}, d.now)
 	assert.Equal(t, d.workers["w"].deadline, sent.Deadline)
 }
 
@@ -128,7 +128,7 @@
 	d.keep()
 	order, _ := d.NextOrder("w", d.now)
 	d.StartOrder(order, d.now)
-	assert.Assert(t, d.HandleOrderResponse(order, port.Answer{Verdict: port.Unknown}, d.now))
+	assert.Assert(t, d.HandleOrderResponse(order, port.Response{Result: port.Unknown}, d.now))
 	d.Retry(order, d.now)
 	_, err := d.Cancel("1", d.now)
 	assert.NilError(t, err)
@@ -150,27 +150,27 @@
 	d.StartOrder(first, d.now)
 	second, _ := d.NextOrder("w", d.now)
 	d.StartOrder(second, d.now)
-	assert.Assert(t, !d.HandleOrderResponse(first, port.Answer{Verdict: port.Unreached}, d.now))
-	assert.Assert(t, !d.HandleOrderResponse(second, port.Answer{Verdict: port.Unreached}, d.now))
+	assert.Assert(t, !d.HandleOrderResponse(first, port.Response{Result: port.Unreachable}, d.now))
+	assert.Assert(t, !d.HandleOrderResponse(second, port.Response{Result: port.Unreachable}, d.now))
 	assert.Equal(t, d.jobs["1"].rounds[0].steps[0].waiting, 2)
 }
 
 // TestAnswerToALaterStartOfARunningTask has an order get no answer, a look show that
 // its run has begun, and the order given again come to nothing: the run goes on.
 func TestAnswerToALaterStartOfARunningTask(t *testing.T) {
-	for _, v := range []port.Verdict{port.Unreached, port.Refused, port.Unknown, port.Late, port.NoRoom, port.TooLow} {
+	for _, v := range []port.Result{port.Unreachable, port.Refused, port.Unknown, port.DeadlinePassed, port.NoCapacity, port.TokenTooLow} {
 		d := newDesk(t, 1)
 		d.serve()
 		d.submit("1", 1)
 		d.keep()
 		order, _ := d.NextOrder("w", d.now)
 		d.StartOrder(order, d.now)
-		assert.Assert(t, d.HandleOrderResponse(order, port.Answer{Verdict: port.Unknown}, d.now))
+		assert.Assert(t, d.HandleOrderResponse(order, port.Response{Result: port.Unknown}, d.now))
 		d.Retry(order, d.now)
 		order, _ = d.NextOrder("w", d.now)
 		d.StartOrder(order, d.now)
 		d.look("w", worker.Listing{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1}}}, heard)
-		assert.Assert(t, !d.HandleOrderResponse(order, port.Answer{Verdict: v}, d.now), "%s", v)
+		assert.Assert(t, !d.HandleOrderResponse(order, port.Response{Result: v}, d.now), "%s", v)
 		assert.Equal(t, d.jobs["1"].rounds[0].steps[0].waiting, 0, "%s", v)
 		d.look("w", worker.Listing{}, heard)
 		assert.Equal(t, d.jobs["1"].rounds[0].steps[0].waiting, 1, "%s: a run that is gone is not noticed", v)
--- a/services/scheduler/trust.go
+++ b/services/scheduler/trust.go
@@ -64,7 +64,7 @@
 }
 
 // refusedBy notes that a worker has refused an order.
-func (p *Pool) refusedBy(u *run, v port.Verdict, now time.Time) {
+func (p *Pool) refusedBy(u *run, v port.Result, now time.Time) {
 	if v == port.Refused {
 		p.setAside(u.at, max(u.at.trust.rest, refusedRest), now, "it refuses orders", u)
 	}
--- a/services/scheduler/worker.go
+++ b/services/scheduler/worker.go
@@ -126,11 +126,11 @@
 func (w *workerState) forgetTicket(s job.StepRef) { delete(w.tickets, s) }
 
 // heard takes what an answer tells of its worker.
-func (p *Pool) heard(w *workerState, a port.Answer, now time.Time) {
-	if a.Verdict == port.Unknown || a.Verdict == port.Unreached {
+func (p *Pool) heard(w *workerState, a port.Response, now time.Time) {
+	if a.Result == port.Unknown || a.Result == port.Unreachable {
 		return
 	}
-	if a.Verdict != port.OtherLife {
+	if a.Result != port.OtherIncarnation {
 		w.heardAt = now
 		if w.doubted {
 			w.doubted = false
--- a/standin/world/advice.go
+++ b/standin/world/advice.go
@@ -41,7 +41,7 @@
 // Advisor returns the advice service.
 func (w *World) Advisor() port.Advisor {
 	busy := make(chan struct{}, 1)
-	return port.Advisor{Ask: func(ctx context.Context, step string, ids []worker.ID) ([]port.Ticket, error) {
+	return port.Advisor{Advise: func(ctx context.Context, step string, ids []worker.ID) ([]port.Ticket, error) {
 		select {
 		case busy <- struct{}{}:
 		case <-ctx.Done():
--- a/standin/world/feed.go
+++ b/standin/world/feed.go
@@ -84,7 +84,7 @@
 			var v worker.Worker
 			return v, codec.Unmarshal(r.Value, &v)
 		},
-		TellWave: func(ctx context.Context, s port.Store, number int, done bool) error {
+		ReportWave: func(ctx context.Context, s port.Store, number int, done bool) error {
 			if done {
 				w.checkWave(number)
 			}
--- a/standin/world/instance.go
+++ b/standin/world/instance.go
@@ -71,11 +71,11 @@
 			time.Sleep(instanceTime)
 			return w.listInstances(), nil
 		},
-		Move: func(ctx context.Context, p port.Permit, name, pool string) error {
+		Move: func(ctx context.Context, p port.Issuer, name, pool string) error {
 			time.Sleep(instanceTime)
 			return w.answerOrder(ctx, w.moveInstance(p, name, pool))
 		},
-		Maintain: func(ctx context.Context, p port.Permit, name string, wave int) error {
+		Maintain: func(ctx context.Context, p port.Issuer, name string, wave int) error {
 			time.Sleep(instanceTime)
 			return w.answerOrder(ctx, w.maintainInstance(p, name, wave))
 		},
@@ -119,7 +119,7 @@
 }
 
 // permitted checks who gives an order to an instance. The lock is held.
-func (w *World) permitted(i *instance, p port.Permit) {
+func (w *World) permitted(i *instance, p port.Issuer) {
 	if p.Token < i.token {
 		w.broken("ONE: a token %d after %d for %s", p.Token, i.token, i.name)
 	}
@@ -129,7 +129,7 @@
 	i.token, i.holder, i.ordered = max(i.token, p.Token), p.Holder, time.Now()
 }
 
-func (w *World) moveInstance(p port.Permit, name, pool string) error {
+func (w *World) moveInstance(p port.Issuer, name, pool string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	i := w.instances[name]
@@ -149,7 +149,7 @@
 	return nil
 }
 
-func (w *World) maintainInstance(p port.Permit, name string, number int) error {
+func (w *World) maintainInstance(p port.Issuer, name string, number int) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	i, work := w.instances[name], w.waves[number]
--- a/standin/world/link.go
+++ b/standin/world/link.go
@@ -15,7 +15,7 @@
 func (w *World) Workers(node string) port.Workers {
 	return port.Workers{Open: func(info worker.Worker) *port.Link {
 		l := &nodeLink{w, node, info.ID}
-		return &port.Link{Start: l.start, Stop: l.stop, Pace: l.pace, Look: l.look, Close: func() {}}
+		return &port.Link{Start: l.start, Stop: l.stop, SetCPUShare: l.pace, Poll: l.look, Close: func() {}}
 	}}
 }
 
@@ -27,7 +27,7 @@
 }
 
 // order carries an order out and returns its answer.
-func (l *nodeLink) order(ctx context.Context, token uint64, do func(o *Worker) port.Verdict) port.Answer {
+func (l *nodeLink) order(ctx context.Context, token uint64, do func(o *Worker) port.Result) port.Response {
 	select {
 	case <-time.After(orderTime):
 	case <-ctx.Done():
@@ -37,7 +37,7 @@
 	cut := l.w.fault(l.node).WorkersCut || o.Silent
 	if o.over && !cut {
 		defer l.w.mu.Unlock()
-		return port.Answer{Verdict: port.Unreached}
+		return port.Response{Result: port.Unreachable}
 	}
 	if cut || o.Late > 0 || o.Deaf {
 		switch {
@@ -49,7 +49,7 @@
 		}
 		l.w.mu.Unlock()
 		_ = silence(ctx, callTimeout)
-		return port.Answer{Verdict: port.Unknown}
+		return port.Response{Result: port.Unknown}
 	}
 	defer l.w.mu.Unlock()
 	return o.take(token, do)
@@ -57,7 +57,7 @@
 
 // carryOut carries a late order out, at the life that the worker's id has by then. One of which
 // nobody could have told another life anything waits until some other order has come there.
-func (w *World) carryOut(sentTo *Worker, token uint64, do func(o *Worker) port.Verdict) {
+func (w *World) carryOut(sentTo *Worker, token uint64, do func(o *Worker) port.Result) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	o := w.workers[sentTo.info.ID]
@@ -71,13 +71,13 @@
 }
 
 // take carries an order out unless a higher token was seen. The lock is held.
-func (o *Worker) take(token uint64, do func(o *Worker) port.Verdict) port.Answer {
+func (o *Worker) take(token uint64, do func(o *Worker) port.Result) port.Response {
 	o.lapse()
 	if token < o.token {
-		return port.Answer{Verdict: port.TooLow, Clock: o.clock()}
+		return port.Response{Result: port.TokenTooLow, Clock: o.clock()}
 	}
 	o.token = token
-	a := port.Answer{Verdict: do(o), Clock: o.clock()}
+	a := port.Response{Result: do(o), Clock: o.clock()}
 	early := o.early
 	o.early = nil
 	for _, carryOut := range early {
@@ -86,20 +86,20 @@
 	return a
 }
 
-func (l *nodeLink) start(ctx context.Context, s port.Start) port.Answer {
-	return l.order(ctx, s.Token, func(o *Worker) port.Verdict { return o.startRun(l.node, s) })
+func (l *nodeLink) start(ctx context.Context, s port.Start) port.Response {
+	return l.order(ctx, s.Token, func(o *Worker) port.Result { return o.startRun(l.node, s) })
 }
 
 // startRun begins a run. The lock is held.
-func (o *Worker) startRun(node string, s port.Start) port.Verdict {
+func (o *Worker) startRun(node string, s port.Start) port.Result {
 	if s.Deadline <= o.clock() {
-		return port.Late
+		return port.DeadlinePassed
 	}
 	o.extend(s.Deadline)
 	r := o.runs[s.Task]
 	switch {
 	case r != nil && r.number == s.Number:
-		return port.Taken
+		return port.Accepted
 	case r != nil, s.Number <= o.ended[s.Task]:
 		return port.Outdated
 	}
@@ -118,7 +118,7 @@
 	if crashes(s) {
 		time.AfterFunc(crashAfter, func() { o.w.crashUnder(o.info.ID, s.Task) })
 	}
-	return port.Taken
+	return port.Accepted
 }
 
 // leaseMost is the longest lease that a worker adopts; a longer one is cut to it.
@@ -141,39 +141,39 @@
 	})
 }
 
-func (l *nodeLink) stop(ctx context.Context, s port.Stop) port.Answer {
-	return l.order(ctx, s.Token, func(o *Worker) port.Verdict {
+func (l *nodeLink) stop(ctx context.Context, s port.Stop) port.Response {
+	return l.order(ctx, s.Token, func(o *Worker) port.Result {
 		r := o.runs[s.Task]
 		if r == nil || r.number != s.Number {
 			o.ended[s.Task] = max(o.ended[s.Task], s.Number)
-			return port.Taken
+			return port.Accepted
 		}
 		if !r.stopping {
 			r.stopping = true
 			o.w.stopped(l.node, o, r)
 			time.AfterFunc(stopTime, func() { o.finish(r, worker.Stopped) })
 		}
-		return port.Taken
+		return port.Accepted
 	})
 }
 
-func (l *nodeLink) pace(ctx context.Context, p port.Pace) port.Answer {
-	return l.order(ctx, p.Token, func(o *Worker) port.Verdict {
+func (l *nodeLink) pace(ctx context.Context, p port.CPUShare) port.Response {
+	return l.order(ctx, p.Token, func(o *Worker) port.Result {
 		if r := o.runs[p.Task]; r != nil && r.number == p.Number {
 			r.pace = p.Percent
 			o.checkHarm()
-			return port.Taken
+			return port.Accepted
 		}
 		return port.Outdated
 	})
 }
 
-func (l *nodeLink) look(ctx context.Context, k port.Look) (worker.Listing, port.Answer) {
+func (l *nodeLink) look(ctx context.Context, k port.Poll) (worker.Listing, port.Response) {
 	listing, a := l.list(ctx, k.Token, func(o *Worker) {
 		o.extend(k.Deadline)
-		o.forget(k.Seen)
+		o.forget(k.Acknowledged)
 	})
-	if a.Verdict != port.Taken || len(listing.Ends) > 0 || k.Wait == 0 {
+	if a.Result != port.Accepted || len(listing.Ends) > 0 || k.Wait == 0 {
 		return listing, a
 	}
 	l.w.mu.Lock()
@@ -189,14 +189,14 @@
 }
 
 // list carries an order out that is answered with a listing.
-func (l *nodeLink) list(ctx context.Context, token uint64, do func(o *Worker)) (worker.Listing, port.Answer) {
+func (l *nodeLink) list(ctx context.Context, token uint64, do func(o *Worker)) (worker.Listing, port.Response) {
 	var taken worker.Listing // may be written late, where there is no answer
-	a := l.order(ctx, token, func(o *Worker) port.Verdict {
+	a := l.order(ctx, token, func(o *Worker) port.Result {
 		do(o)
 		taken = o.listing()
-		return port.Taken
+		return port.Accepted
 	})
-	if a.Verdict != port.Taken {
+	if a.Result != port.Accepted {
 		return worker.Listing{Clock: a.Clock}, a
 	}
 	taken.Clock = a.Clock
