--- a/adapters/peerrpc/client.go
+++ b/adapters/peerrpc/client.go
@@ -143,7 +143,7 @@
 
 // Reached waits for a while until an entry has folded the log up to a mark, and
 // returns whether it has.
-func (c *Client) Reached(ctx context.Context, entry string, m state.Mark) (bool, error) {
+func (c *Client) Reached(ctx context.Context, entry string, m state.Position) (bool, error) {
 	var a ReachedAnswer
 	err := c.call(ctx, entry, methodReached, m, &a)
 	return a.Reached, err
--- a/adapters/peerrpc/message.go
+++ b/adapters/peerrpc/message.go
@@ -72,5 +72,5 @@
 	Relay    func(from uint64) RelayAnswer
 	Append   func(ctx context.Context, data []byte) error
 	Whole    func() (WholeAnswer, error)
-	Reached  func(ctx context.Context, m state.Mark) ReachedAnswer
+	Reached  func(ctx context.Context, m state.Position) ReachedAnswer
 }
--- a/adapters/peerrpc/server.go
+++ b/adapters/peerrpc/server.go
@@ -80,7 +80,7 @@
 	case methodWhole:
 		return h.Whole()
 	case methodReached:
-		return handled(r, func(m state.Mark) (any, error) { return h.Reached(ctx, m), nil })
+		return handled(r, func(m state.Position) (any, error) { return h.Reached(ctx, m), nil })
 	}
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: r.Method}
 }
--- a/benchmarks/cluster_test.go
+++ b/benchmarks/cluster_test.go
@@ -36,7 +36,7 @@
 	for i := range n {
 		rack := i / 4
 		workers = append(workers, fleet.Worker{
-			ID: fmt.Sprintf("w%04d", i), Hall: fmt.Sprintf("hall-%d", rack%halls), Rack: fmt.Sprintf("r%d", rack),
+			ID: fmt.Sprintf("w%04d", i), DataCenter: fmt.Sprintf("hall-%d", rack%halls), Rack: fmt.Sprintf("r%d", rack),
 			Cores: 16, MemoryGB: 32, Slots: 8, Connections: 64, Condition: fleet.Live,
 		})
 	}
--- a/benchmarks/maintain_test.go
+++ b/benchmarks/maintain_test.go
@@ -94,7 +94,7 @@
 }
 
 func (c *cycle) see(w fleet.Worker) {
-	c.y.fold(record.Record{Sighting: &record.Sighting{Revision: c.y.s.ListRevision + 1, Workers: []fleet.Worker{w}}})
+	c.y.fold(record.Record{ListUpdate: &record.ListUpdate{Revision: c.y.s.ListRevision + 1, Workers: []fleet.Worker{w}}})
 }
 
 // restore brings back what has rebooted or was mended.
@@ -106,7 +106,7 @@
 		delete(c.back, id)
 		if i, ok := c.y.s.Instances.Get(id); ok {
 			w := i.Worker.WithCondition(fleet.Live)
-			w.Boot++
+			w.BootCount++
 			c.see(w)
 		}
 	}
@@ -151,10 +151,10 @@
 	}
 	for _, p := range c.y.s.Catalog.Pools() {
 		h := c.y.s.Headroom(p)
-		if h.Serving < p.Available {
+		if h.Serving < p.MinAvailable {
 			c.breaks++
 		}
-		c.slack += float64(h.Serving - p.Available)
+		c.slack += float64(h.Serving - p.MinAvailable)
 	}
 	c.slack += float64(len(c.y.s.PoolInstances(manifest.SparePool)))
 }
@@ -256,16 +256,16 @@
 // rack.
 func tightYard(z size, perRack int) *yard {
 	y := &yard{now: start}
-	y.fold(record.Record{Join: &record.Join{Address: "127.0.0.1:1", Hall: "hall-0"}})
+	y.fold(record.Record{Join: &record.Join{Address: "127.0.0.1:1", DataCenter: "hall-0"}})
 	workers := fleetOf(z.workers)
 	for n := range workers {
 		workers[n].Rack = fmt.Sprintf("r%d", n/perRack)
 	}
-	y.fold(record.Record{Sighting: &record.Sighting{Revision: 1, Workers: workers}})
+	y.fold(record.Record{ListUpdate: &record.ListUpdate{Revision: 1, Workers: workers}})
 	objects := []manifest.Object{{Team: &manifest.Team{Name: "t"}}}
 	for n := range z.pools {
 		objects = append(objects, manifest.Object{Pool: &manifest.Pool{
-			Name: fmt.Sprintf("pool-%03d", n), Team: "t", Size: 10, Available: 9, Survive: manifest.DomainRack,
+			Name: fmt.Sprintf("pool-%03d", n), Team: "t", Size: 10, MinAvailable: 9, FailureDomain: manifest.DomainRack,
 		}})
 	}
 	y.fold(record.Record{Apply: &record.Apply{Deployment: "bench", Put: objects}})
--- a/benchmarks/place_test.go
+++ b/benchmarks/place_test.go
@@ -125,7 +125,7 @@
 func (w *workshop) step() {
 	w.clock.Advance(tick)
 	w.now = w.clock.Now()
-	w.fold(record.Record{Lease: &record.Lease{Role: record.RoleJobs, Life: time.Minute}})
+	w.fold(record.Record{Lease: &record.Lease{Role: record.RoleJobs, TTL: time.Minute}})
 	w.decider.Once(context.Background(), w.s)
 	w.decider.AwaitStarts()
 }
--- a/benchmarks/state_test.go
+++ b/benchmarks/state_test.go
@@ -56,10 +56,10 @@
 // pool asks for its part of nine tenths of the workers.
 func newYard(z size) *yard {
 	y := &yard{now: start}
-	y.fold(record.Record{Join: &record.Join{Address: "127.0.0.1:1", Hall: "hall-0"}})
+	y.fold(record.Record{Join: &record.Join{Address: "127.0.0.1:1", DataCenter: "hall-0"}})
 	workers := fleetOf(z.workers)
 	for from := 0; from < len(workers); from += 500 {
-		y.fold(record.Record{Sighting: &record.Sighting{Revision: y.s.ListRevision + 1, Workers: workers[from:min(from+500, len(workers))]}})
+		y.fold(record.Record{ListUpdate: &record.ListUpdate{Revision: y.s.ListRevision + 1, Workers: workers[from:min(from+500, len(workers))]}})
 	}
 	var objects []manifest.Object
 	for n := range z.teams {
@@ -81,7 +81,7 @@
 	share := z.workers * 9 / 10 / z.pools
 	return &manifest.Pool{
 		Name: fmt.Sprintf("pool-%03d", n), Team: fmt.Sprintf("team-%d", n%z.teams),
-		Size: share, Available: share - 2, Survive: manifest.DomainRack,
+		Size: share, MinAvailable: share - 2, FailureDomain: manifest.DomainRack,
 	}
 }
 
@@ -144,8 +144,8 @@
 			for n := range records {
 				i, _ := y.s.Instances.Get(fmt.Sprintf("w%04d", n%workers))
 				w := i.Worker
-				w.Boot++
-				y.fold(record.Record{Sighting: &record.Sighting{Revision: y.s.ListRevision + 1, Workers: []fleet.Worker{w}}})
+				w.BootCount++
+				y.fold(record.Record{ListUpdate: &record.ListUpdate{Revision: y.s.ListRevision + 1, Workers: []fleet.Worker{w}}})
 			}
 			b.ReportMetric(float64(time.Since(begun).Nanoseconds())/records, "ns/record")
 		})
--- a/cmd/node.go
+++ b/cmd/node.go
@@ -91,19 +91,19 @@
 	workers := &platform.Workers{Client: func(address string) *httpconn.Client { return c.to("worker", address) }}
 	nodeFound, _ := meter.Channels("node")
 	n, err := node.New(s, node.Ports{
-		Store:     meter.Store(store.Port()),
-		Feeds:     platform.Feeds(),
-		Workers:   meter.Workers(workers.Port()),
-		Instances: meter.Instances(c.instances(s.Platform.Instances).Port()),
-		Advisor:   meter.Advisor((&platform.Advisor{Client: c.to("advice", s.Platform.Advice)}).Port()),
-		Found:     func(_ string, after time.Duration) { nodeFound(1, after) },
-		Count:     meter.Count,
+		Store:          meter.Store(store.Port()),
+		Feeds:          platform.Feeds(),
+		Workers:        meter.Workers(workers.Port()),
+		Instances:      meter.Instances(c.instances(s.Platform.Instances).Port()),
+		Advisor:        meter.Advisor((&platform.Advisor{Client: c.to("advice", s.Platform.Advice)}).Port()),
+		OnUnresponsive: func(_ string, after time.Duration) { nodeFound(1, after) },
+		Count:          meter.Count,
 	}, machineClock(logger), logger)
 	if err != nil {
 		return nil, err
 	}
-	meter.Gauge("pools.owned", n.Owned)
-	meter.Gauge("config.version", n.Version)
+	meter.Gauge("pools.owned", n.OwnedPools)
+	meter.Gauge("config.version", n.ConfigVersion)
 	p := &nodeProcess{node: n, setting: s, logger: logger, meter: meter}
 	return p, p.open()
 }
--- a/cmd/standalone.go
+++ b/cmd/standalone.go
@@ -66,7 +66,7 @@
 		}
 	}()
 	for n := range standaloneEntries {
-		hall := workers[n*len(workers)/standaloneEntries].Hall
+		hall := workers[n*len(workers)/standaloneEntries].DataCenter
 		d, err := startEntry(ctx, s, n, hall, port, logger)
 		if err != nil {
 			return err
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -57,7 +57,7 @@
 
 	fleet  *fleetwatch.Watcher
 	keeper *leases.Renewer
-	taker  *snapshots.Taker
+	taker  *snapshots.Snapshotter
 	server *peerrpc.Server
 	client *peerrpc.Client
 	pokes  chan pokeTo
@@ -149,7 +149,7 @@
 		State:       e.Ledger.State,
 		Logger:      e.Logger,
 		Probe:       e.client.Probe,
-		Ask:         e.client.Help,
+		ProbeVia:    e.client.Help,
 	}
 }
 
@@ -213,7 +213,7 @@
 		Clock: e.Clock, Name: name, Incarnation: incarnation,
 		State: e.Ledger.State, Alive: e.Members.AliveEntries, Propose: e.Propose,
 	}
-	e.taker = &snapshots.Taker{
+	e.taker = &snapshots.Snapshotter{
 		Clock: e.Clock, Logger: e.Logger, Name: name, Incarnation: incarnation,
 		Retention: e.Setting.Platform.Retention.Std(), State: e.Ledger.State, Propose: e.Propose,
 	}
@@ -269,7 +269,7 @@
 func (e *Entry) alivePeers() []string {
 	peers := e.Members.AliveEntries()
 	if len(peers) < 2 {
-		peers = e.Ledger.State().Roster()
+		peers = e.Ledger.State().MemberNames()
 	}
 	peers = slices.DeleteFunc(peers, func(n string) bool { return n == e.Setting.Entry.Name })
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -30,8 +30,8 @@
 	return peerrpc.Handlers{
 		Exchange: e.Lender.Exchange,
 		Poke:     e.Holder.HandlePoke,
-		Probe:    e.Members.Take,
-		Help:     e.Members.Reach,
+		Probe:    e.Members.Receive,
+		Help:     e.Members.Ping,
 		Leaving:  e.leaving,
 		Relay:    e.relayOut,
 		Append:   e.appendOut,
@@ -118,7 +118,7 @@
 	return peerrpc.WholeAnswer{Data: data}, err
 }
 
-func (e *Entry) reached(ctx context.Context, m state.Mark) peerrpc.ReachedAnswer {
+func (e *Entry) reached(ctx context.Context, m state.Position) peerrpc.ReachedAnswer {
 	bounded, cancel := context.WithTimeout(ctx, reachedLimit)
 	defer cancel()
 	return peerrpc.ReachedAnswer{Reached: e.Ledger.WaitFor(bounded, m) == nil}
--- a/models/config/config.go
+++ b/models/config/config.go
@@ -25,16 +25,16 @@
 
 // Queue takes the jobs of a host and path prefix to the workers of a pool.
 type Queue struct {
-	Name       string
-	Host       string
-	PathPrefix string
-	Pool       string
-	Priority   int           // 0 comes first and may preempt others
-	Attempts   int           // failed runs of a task that fail its job, 0 for no limit
-	Stretch    float64       // of a job's longest chain of work, for its objective
-	Target     time.Duration // added to that
-	Advice     *Advice       // nil where every worker may run a step
-	Anyone     bool          // it takes calls without a key
+	Name           string
+	Host           string
+	PathPrefix     string
+	Pool           string
+	Priority       int           // 0 comes first and may preempt others
+	MaxAttempts    int           `json:"Attempts"` // failed runs of a task that fail its job, 0 for no limit
+	Stretch        float64       // of a job's longest chain of work, for its objective
+	BaseObjective  time.Duration `json:"Target"` // added to that
+	Advice         *Advice       // nil where every worker may run a step
+	AllowAnonymous bool          `json:"Anyone"` // it takes calls without a key
 }
 
 // Key names the queue as long as its host and prefix stand.
@@ -43,16 +43,16 @@
 // Advice says what the advice service takes for a queue that it must be asked
 // for.
 type Advice struct {
-	Decide time.Duration // for one call
-	Each   time.Duration // for each worker asked about
-	Valid  time.Duration // how long a ticket holds
+	CallTime       time.Duration `json:"Decide"` // for one call
+	TimePerWorker  time.Duration `json:"Each"`   // for each worker asked about
+	TicketValidity time.Duration `json:"Valid"`  // how long a ticket holds
 }
 
 // Pool is a group of instances that run the tasks of queues.
 type Pool struct {
-	Name     string
-	Guards   bool // its workers reject what does not fit; others take whatever they are told
-	Headroom bool // its instances are off and cost nothing
+	Name            string
+	RejectsOverload bool `json:"Guards"` // its workers reject what does not fit; others take whatever they are told
+	Headroom        bool // its instances are off and cost nothing
 }
 
 // Limits bound what a caller may send.
--- a/models/config/customer.go
+++ b/models/config/customer.go
@@ -30,16 +30,16 @@
 // KeyHash is the SHA-256 sum of a key; the key itself is kept nowhere.
 type KeyHash [sha256.Size]byte
 
-// MostKeyBytes is how long a key may be: a longer one is none, so that a call costs no more
+// MaxKeyBytes is how long a key may be: a longer one is none, so that a call costs no more
 // than the hash of so many bytes.
-const MostKeyBytes = 256
+const MaxKeyBytes = 256
 
 // HashKey returns the hash of a key, and false for a text that can be none.
 func HashKey(key string) (KeyHash, bool) {
-	if key == "" || len(key) > MostKeyBytes {
+	if key == "" || len(key) > MaxKeyBytes {
 		return KeyHash{}, false
 	}
-	var text [MostKeyBytes]byte // the sum of a slice of it takes no memory of its own
+	var text [MaxKeyBytes]byte // the sum of a slice of it takes no memory of its own
 	return sha256.Sum256(text[:copy(text[:], key)]), true
 }
 
@@ -70,9 +70,9 @@
 	return &next
 }
 
-// Holder returns the customer that holds a key, nil for none. Keys are found by their
+// CustomerByKey returns the customer that holds a key, nil for none. Keys are found by their
 // hash, so that the time it takes tells nothing of the keys that there are.
-func (c *Config) Holder(key string) *Customer {
+func (c *Config) CustomerByKey(key string) *Customer {
 	h, could := HashKey(key)
 	if !could {
 		return nil
--- a/models/config/customer_test.go
+++ b/models/config/customer_test.go
@@ -32,14 +32,14 @@
 	c := many(20)
 	for i := range 20 {
 		for k := range 4 {
-			assert.Equal(t, c.Holder(keyOf(i, k)), c.Customer(fmt.Sprint("customer-", i)))
+			assert.Equal(t, c.CustomerByKey(keyOf(i, k)), c.Customer(fmt.Sprint("customer-", i)))
 		}
 	}
-	for _, text := range []string{"", "x", keyOf(20, 0), keyOf(1, 1) + "0", strings.Repeat("x", MostKeyBytes+1)} {
-		assert.Assert(t, c.Holder(text) == nil, text)
+	for _, text := range []string{"", "x", keyOf(20, 0), keyOf(1, 1) + "0", strings.Repeat("x", MaxKeyBytes+1)} {
+		assert.Assert(t, c.CustomerByKey(text) == nil, text)
 	}
 	none := New(2, nil, nil, Limits{})
-	assert.Assert(t, none.Holder(keyOf(1, 1)) == nil)
+	assert.Assert(t, none.CustomerByKey(keyOf(1, 1)) == nil)
 }
 
 // TestConfigurationPassesBetweenNodes: what one node has read another takes over, and no
@@ -52,13 +52,13 @@
 	var read Config
 	assert.NilError(t, json.Unmarshal(text, &read))
 	again := New(read.Version, read.Queues, read.Pools, read.Limits).WithCustomers(read.Customers)
-	assert.Equal(t, again.Holder(keyOf(1, 1)).Name, "customer-1")
+	assert.Equal(t, again.CustomerByKey(keyOf(1, 1)).Name, "customer-1")
 }
 
 // TestKeyTakesNoMemory: a call's key is looked up without an allocation.
 func TestKeyTakesNoMemory(t *testing.T) {
 	c, key := many(1000), keyOf(7, 3)
-	assert.Equal(t, testing.AllocsPerRun(100, func() { c.Holder(key) }), 0.0)
+	assert.Equal(t, testing.AllocsPerRun(100, func() { c.CustomerByKey(key) }), 0.0)
 }
 
 // BenchmarkHolder looks one key up among 1,000 customers with four each.
@@ -66,6 +66,6 @@
 	c, key := many(1000), keyOf(7, 3)
 	b.ReportAllocs()
 	for b.Loop() {
-		c.Holder(key)
+		c.CustomerByKey(key)
 	}
 }
--- a/models/fleet/worker.go
+++ b/models/fleet/worker.go
@@ -17,7 +17,7 @@
 type Worker struct {
 	ID           string    `json:"id"`
 	Address      string    `json:"address"` // IP and port of its target
-	Hall         string    `json:"hall"`
+	DataCenter   string    `json:"hall"`
 	Rack         string    `json:"rack"`
 	Kind         string    `json:"kind,omitempty"`
 	Cores        int       `json:"cores"`
@@ -25,12 +25,12 @@
 	Accelerators int       `json:"accelerators,omitempty"`
 	Slots        int       `json:"slots"`          // requests at once
 	Connections  int       `json:"connections"`    // connections at once
-	Boot         int       `json:"boot,omitempty"` // grows with each reboot
+	BootCount    int       `json:"boot,omitempty"` // grows with each reboot
 	Condition    Condition `json:"condition"`
 }
 
-// Same reports whether two sightings of a worker tell the same.
-func (w Worker) Same(o Worker) bool { return w == o }
+// Equal reports whether two sightings of a worker tell the same.
+func (w Worker) Equal(o Worker) bool { return w == o }
 
 // WithCondition returns the worker in another condition.
 func (w Worker) WithCondition(c Condition) Worker {
--- a/models/job/check.go
+++ b/models/job/check.go
@@ -48,8 +48,8 @@
 	if len(s.Steps) == 0 || len(s.Steps) > maxSteps {
 		return fmt.Errorf("%d steps; 1 to %d are allowed", len(s.Steps), maxSteps)
 	}
-	if s.Times < 0 || s.Times > maxTimes {
-		return fmt.Errorf("%d times; 0 to %d are allowed", s.Times, maxTimes)
+	if s.RepeatCount < 0 || s.RepeatCount > maxTimes {
+		return fmt.Errorf("%d times; 0 to %d are allowed", s.RepeatCount, maxTimes)
 	}
 	if s.Interval < 0 {
 		return fmt.Errorf("the interval %s is negative", s.Interval)
@@ -78,8 +78,8 @@
 		{"processors", s.Size.CPU, 0, maxCPU},
 		{"memory", s.Size.MemoryMB, 0, maxMemory},
 		{"accelerators", s.Size.Accelerators, 0, maxGPU},
-		{"tasks on one worker", s.PerWorker, 0, maxCount},
-		{"tasks that may be away", s.MayMiss, 0, maxCount},
+		{"tasks on one worker", s.MaxPerWorker, 0, maxCount},
+		{"tasks that may be away", s.MaxUnavailable, 0, maxCount},
 	}
 	for _, r := range ranges {
 		if r.value < r.least || r.value > r.most {
@@ -89,10 +89,10 @@
 	if s.Estimate < 0 || s.Estimate > maxEstimate {
 		return fmt.Errorf("the estimate %s is out of range", s.Estimate)
 	}
-	if s.Target < 0 {
-		return fmt.Errorf("the latency target %s is negative", s.Target)
+	if s.LatencyObjective < 0 {
+		return fmt.Errorf("the latency target %s is negative", s.LatencyObjective)
 	}
-	for _, a := range s.After {
+	for _, a := range s.DependsOn {
 		if a < 0 || a >= number {
 			return fmt.Errorf("it follows step %d; only earlier steps are allowed", a)
 		}
--- a/models/job/job.go
+++ b/models/job/job.go
@@ -64,36 +64,36 @@
 	return Size{min(s.CPU, o.CPU), min(s.MemoryMB, o.MemoryMB), min(s.Accelerators, o.Accelerators)}
 }
 
-// Fits reports whether the size has room in the other.
-func (s Size) Fits(room Size) bool {
+// FitsIn reports whether the size has room in the other.
+func (s Size) FitsIn(room Size) bool {
 	return s.CPU <= room.CPU && s.MemoryMB <= room.MemoryMB && s.Accelerators <= room.Accelerators
 }
 
 // Step is a number of like tasks of a job.
 type Step struct {
-	Count       int           `cbor:"1,keyasint"`
-	Size        Size          `cbor:"2,keyasint"`            // of each task
-	Estimate    time.Duration `cbor:"3,keyasint,omitempty"`  // of a task's run time, by the caller; often far off
-	After       []int         `cbor:"4,keyasint,omitempty"`  // earlier steps that must be done
-	Checkpoints bool          `cbor:"5,keyasint,omitempty"`  // a later run can go on from what an earlier one saved
-	Gang        bool          `cbor:"6,keyasint,omitempty"`  // the tasks run and end together
-	SameRack    bool          `cbor:"7,keyasint,omitempty"`  // slow when spread over racks
-	Label       string        `cbor:"8,keyasint,omitempty"`  // that a worker must have, "" for none
-	Rack        string        `cbor:"9,keyasint,omitempty"`  // where the data lies, "" for anywhere
-	PerWorker   int           `cbor:"10,keyasint,omitempty"` // tasks of one time on one worker, 0 for no limit
-	Duplicates  bool          `cbor:"11,keyasint,omitempty"` // copies of a task may run side by side
-	Lasting     bool          `cbor:"12,keyasint,omitempty"` // the tasks run until the job is cancelled
-	Image       string        `cbor:"13,keyasint,omitempty"` // what is run; tasks of one image behave alike
-	Target      time.Duration `cbor:"14,keyasint,omitempty"` // for the tail latency of what the task serves, 0 for none
-	Filling     bool          `cbor:"15,keyasint,omitempty"` // takes only the processors that others leave unused
-	MayMiss     int           `cbor:"16,keyasint,omitempty"` // tasks that may be away at once by our doing, 0 where not stated
+	Count            int           `cbor:"1,keyasint"`
+	Size             Size          `cbor:"2,keyasint"`            // of each task
+	Estimate         time.Duration `cbor:"3,keyasint,omitempty"`  // of a task's run time, by the caller; often far off
+	DependsOn        []int         `cbor:"4,keyasint,omitempty"`  // earlier steps that must be done
+	Checkpointing    bool          `cbor:"5,keyasint,omitempty"`  // a later run can go on from what an earlier one saved
+	Gang             bool          `cbor:"6,keyasint,omitempty"`  // the tasks run and end together
+	SameRack         bool          `cbor:"7,keyasint,omitempty"`  // slow when spread over racks
+	Label            string        `cbor:"8,keyasint,omitempty"`  // that a worker must have, "" for none
+	Rack             string        `cbor:"9,keyasint,omitempty"`  // where the data lies, "" for anywhere
+	MaxPerWorker     int           `cbor:"10,keyasint,omitempty"` // tasks of one time on one worker, 0 for no limit
+	AllowDuplicates  bool          `cbor:"11,keyasint,omitempty"` // copies of a task may run side by side
+	LongRunning      bool          `cbor:"12,keyasint,omitempty"` // the tasks run until the job is cancelled
+	Image            string        `cbor:"13,keyasint,omitempty"` // what is run; tasks of one image behave alike
+	LatencyObjective time.Duration `cbor:"14,keyasint,omitempty"` // for the tail latency of what the task serves, 0 for none
+	Backfill         bool          `cbor:"15,keyasint,omitempty"` // takes only the processors that others leave unused
+	MaxUnavailable   int           `cbor:"16,keyasint,omitempty"` // tasks that may be away at once by our doing, 0 where not stated
 }
 
-// Room returns what a task of the step takes from a worker's room: a filling
+// Reservation returns what a task of the step takes from a worker's room: a filling
 // one takes no processors of its own.
-func (s *Step) Room() Size {
+func (s *Step) Reservation() Size {
 	room := s.Size
-	if s.Filling {
+	if s.Backfill {
 		room.CPU = 0
 	}
 	return room
@@ -101,60 +101,60 @@
 
 // Submission is a job as its caller describes it.
 type Submission struct {
-	ID       ID            `cbor:"1,keyasint"`
-	Queue    string        `cbor:"2,keyasint"`           // key of the queue it came on
-	Spec     string        `cbor:"3,keyasint,omitempty"` // handed to each task as it is
-	Steps    []Step        `cbor:"4,keyasint"`
-	Times    int           `cbor:"5,keyasint,omitempty"` // how many times the steps run, 0 for once and at once
-	First    time.Time     `cbor:"6,keyasint,omitempty"` // when the first time is due
-	Interval time.Duration `cbor:"7,keyasint,omitempty"` // from one time to the next
-	Customer string        `cbor:"8,keyasint,omitempty"` // whose job it is, "" for nobody's
+	ID          ID            `cbor:"1,keyasint"`
+	Queue       string        `cbor:"2,keyasint"`           // key of the queue it came on
+	Spec        string        `cbor:"3,keyasint,omitempty"` // handed to each task as it is
+	Steps       []Step        `cbor:"4,keyasint"`
+	RepeatCount int           `cbor:"5,keyasint,omitempty"` // how many times the steps run, 0 for once and at once
+	FirstDue    time.Time     `cbor:"6,keyasint,omitempty"` // when the first time is due
+	Interval    time.Duration `cbor:"7,keyasint,omitempty"` // from one time to the next
+	Customer    string        `cbor:"8,keyasint,omitempty"` // whose job it is, "" for nobody's
 }
 
-// May reports whether a call on behalf of a customer, "" for none, may see, cancel or hand in
+// AccessibleBy reports whether a call on behalf of a customer, "" for none, may see, cancel or hand in
 // again the job. One that is nobody's is open to all who may call its queue.
-func (s *Submission) May(by string) bool { return s.Customer == "" || s.Customer == by }
+func (s *Submission) AccessibleBy(by string) bool { return s.Customer == "" || s.Customer == by }
 
 // Rounds returns how many times the steps run.
-func (s *Submission) Rounds() int { return max(s.Times, 1) }
+func (s *Submission) Rounds() int { return max(s.RepeatCount, 1) }
 
-// Due returns when a time is due; a job without times is always due.
-func (s *Submission) Due(round int) time.Time {
-	if s.Times == 0 {
+// DueAt returns when a time is due; a job without times is always due.
+func (s *Submission) DueAt(round int) time.Time {
+	if s.RepeatCount == 0 {
 		return time.Time{}
 	}
-	return s.First.Add(time.Duration(round) * s.Interval)
+	return s.FirstDue.Add(time.Duration(round) * s.Interval)
 }
 
-// Kinds names what is special about the job's steps, for logs.
-func (s *Submission) Kinds() string {
+// Features names what is special about the job's steps, for logs.
+func (s *Submission) Features() string {
 	var kinds []string
 	note := func(has bool, kind string) {
 		if has && !slices.Contains(kinds, kind) {
 			kinds = append(kinds, kind)
 		}
 	}
-	note(s.Times > 0, "times")
+	note(s.RepeatCount > 0, "times")
 	for i := range s.Steps {
 		o := &s.Steps[i]
-		note(o.Lasting, "lasting")
-		note(o.Filling, "filling")
-		note(o.Target > 0, "target")
+		note(o.LongRunning, "lasting")
+		note(o.Backfill, "filling")
+		note(o.LatencyObjective > 0, "target")
 		note(o.Gang, "gang")
 		note(o.SameRack, "same-rack")
 		note(o.Label != "", "label:"+o.Label)
 		note(o.Rack != "", "data")
-		note(o.PerWorker > 0, "apart")
-		note(o.Duplicates, "copies")
-		note(o.Checkpoints, "checkpoints")
+		note(o.MaxPerWorker > 0, "apart")
+		note(o.AllowDuplicates, "copies")
+		note(o.Checkpointing, "checkpoints")
 	}
 	return strings.Join(kinds, " ")
 }
 
-// Lasts reports whether a step of the job runs until the job is cancelled.
-func (s *Submission) Lasts() bool {
+// HasLongRunning reports whether a step of the job runs until the job is cancelled.
+func (s *Submission) HasLongRunning() bool {
 	for i := range s.Steps {
-		if s.Steps[i].Lasting {
+		if s.Steps[i].LongRunning {
 			return true
 		}
 	}
--- a/models/manifest/check.go
+++ b/models/manifest/check.go
@@ -15,18 +15,18 @@
 
 // The bounds of what a file may ask for.
 const (
-	MaxPoolSize = 10000
-	MaxQueue    = 100000
-	MaxDeadline = 10 * time.Minute
-	MaxCores    = 1024
-	MaxShare    = 1e6
+	MaxPoolSize    = 10000
+	MaxQueueLength = 100000
+	MaxDeadline    = 10 * time.Minute
+	MaxCores       = 1024
+	MaxShare       = 1e6
 )
 
 var (
 	namePattern    = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 	clockPattern   = regexp.MustCompile(`^([01][0-9]|2[0-3]):[0-5][0-9]$`)
 	sumPattern     = regexp.MustCompile(`^[0-9a-f]{64}$`)
-	domains        = []string{string(DomainWorker), string(DomainRack), string(DomainHall)}
+	domains        = []string{string(DomainWorker), string(DomainRack), string(DomainDataCenter)}
 	requestClasses = []string{string(Interactive), string(Batch)}
 	jobClasses     = []string{string(Batch), string(LongRunning), string(Urgent)}
 )
@@ -124,8 +124,8 @@
 	}
 	c.name(a, "team", p.Team)
 	c.between(a, "size", p.Size, 1, MaxPoolSize)
-	c.between(a, "available", p.Available, 0, max(p.Size, 0))
-	c.oneOf(a, "survive", string(p.Survive), domains)
+	c.between(a, "available", p.MinAvailable, 0, max(p.Size, 0))
+	c.oneOf(a, "survive", string(p.FailureDomain), domains)
 }
 
 func (c *checker) checkService(a at, s Service) {
@@ -134,7 +134,7 @@
 	c.name(a, "pool", s.Pool)
 	c.oneOf(a, "class", string(s.Class), requestClasses)
 	c.span(a, "deadline", s.Deadline, MaxDeadline)
-	c.between(a, "queue", s.Queue, 0, MaxQueue)
+	c.between(a, "queue", s.QueueLength, 0, MaxQueueLength)
 	for _, m := range s.Repeatable {
 		if m != strings.ToUpper(m) || m == "" {
 			c.add(a, "repeatable", "%q is no method; allowed are upper-case HTTP methods such as \"GET\"", m)
--- a/models/manifest/defaults.go
+++ b/models/manifest/defaults.go
@@ -12,11 +12,11 @@
 
 // The defaults of what a file leaves out.
 const (
-	DefaultDeadline = 2 * time.Second
-	DefaultQueue    = 128
-	DefaultRunTime  = time.Minute
-	DefaultShare    = 1.0
-	DefaultPeriod   = 6 * 7 * 24 * time.Hour
+	DefaultDeadline    = 2 * time.Second
+	DefaultQueueLength = 128
+	DefaultRunTime     = time.Minute
+	DefaultShare       = 1.0
+	DefaultPeriod      = 6 * 7 * 24 * time.Hour
 )
 
 func (f *File) setDefaults() {
@@ -27,8 +27,8 @@
 	}
 	for i := range f.Pools {
 		p := &f.Pools[i]
-		if p.Survive == "" {
-			p.Survive = DomainRack
+		if p.FailureDomain == "" {
+			p.FailureDomain = DomainRack
 		}
 	}
 	for i := range f.Services {
@@ -58,8 +58,8 @@
 	if s.Deadline == 0 {
 		s.Deadline = tomlfile.Duration(DefaultDeadline)
 	}
-	if s.Queue == 0 {
-		s.Queue = DefaultQueue
+	if s.QueueLength == 0 {
+		s.QueueLength = DefaultQueueLength
 	}
 	if s.Repeatable == nil {
 		s.Repeatable = []string{http.MethodGet, http.MethodHead}
--- a/models/manifest/object.go
+++ b/models/manifest/object.go
@@ -64,14 +64,14 @@
 	Urgent      Class = "urgent"
 )
 
-// Domain is a failure domain whose loss a pool survives.
-type Domain string
+// FailureDomain is a failure domain whose loss a pool survives.
+type FailureDomain string
 
 // The failure domains, from small to large.
 const (
-	DomainWorker Domain = "worker"
-	DomainRack   Domain = "rack"
-	DomainHall   Domain = "hall"
+	DomainWorker     FailureDomain = "worker"
+	DomainRack       FailureDomain = "rack"
+	DomainDataCenter FailureDomain = "hall"
 )
 
 // Team owns objects and has a quota for its jobs.
@@ -95,24 +95,24 @@
 
 // Pool asks for instances and states the budget that must hold.
 type Pool struct {
-	Name      string   `toml:"name" json:"name"`
-	Team      string   `toml:"team" json:"team"`
-	Size      int      `toml:"size" json:"size"`           // instances wanted
-	Available int      `toml:"available" json:"available"` // instances in service that must stay
-	Survive   Domain   `toml:"survive" json:"survive"`     // domain whose loss leaves Available
-	Kinds     []string `toml:"kinds" json:"kinds"`         // kinds of worker allowed, empty for all
+	Name          string        `toml:"name" json:"name"`
+	Team          string        `toml:"team" json:"team"`
+	Size          int           `toml:"size" json:"size"`           // instances wanted
+	MinAvailable  int           `toml:"available" json:"available"` // instances in service that must stay
+	FailureDomain FailureDomain `toml:"survive" json:"survive"`     // domain whose loss leaves Available
+	Kinds         []string      `toml:"kinds" json:"kinds"`         // kinds of worker allowed, empty for all
 }
 
 // Service is what callers ask for; its targets are the instances of a pool.
 type Service struct {
-	Name       string            `toml:"name" json:"name"`
-	Team       string            `toml:"team" json:"team"`
-	Pool       string            `toml:"pool" json:"pool"`
-	Class      Class             `toml:"class" json:"class"`
-	Deadline   tomlfile.Duration `toml:"deadline" json:"deadline"`     // for one request
-	Repeatable []string          `toml:"repeatable" json:"repeatable"` // methods that may be sent twice
-	Queue      int               `toml:"queue" json:"queue"`           // requests that may wait at an entry
-	Stream     bool              `toml:"stream" json:"stream"`         // answers have no deadline once begun
+	Name        string            `toml:"name" json:"name"`
+	Team        string            `toml:"team" json:"team"`
+	Pool        string            `toml:"pool" json:"pool"`
+	Class       Class             `toml:"class" json:"class"`
+	Deadline    tomlfile.Duration `toml:"deadline" json:"deadline"`     // for one request
+	Repeatable  []string          `toml:"repeatable" json:"repeatable"` // methods that may be sent twice
+	QueueLength int               `toml:"queue" json:"queue"`           // requests that may wait at an entry
+	Stream      bool              `toml:"stream" json:"stream"`         // answers have no deadline once begun
 	// CustomersOnly has it take requests with a customer's key only.
 	CustomersOnly bool `toml:"customers_only" json:"customers_only"`
 }
@@ -142,12 +142,12 @@
 	Until  string            `toml:"until" json:"until"`
 }
 
-// DueShare is the part of the period after which an instance is due, so that a
+// DueFraction is the part of the period after which an instance is due, so that a
 // blocked one has the rest of the period to get its turn.
-const DueShare = 0.8
+const DueFraction = 0.8
 
-// PeriodShare returns a part of the period.
-func (m *Maintenance) PeriodShare(share float64) time.Duration {
+// PeriodFraction returns a part of the period.
+func (m *Maintenance) PeriodFraction(share float64) time.Duration {
 	return time.Duration(float64(m.Period.Std()) * share)
 }
 
@@ -198,12 +198,12 @@
 	return ""
 }
 
-// MayRepeat reports whether a request with the method may be sent twice.
-func (s *Service) MayRepeat(method string) bool {
+// IsRepeatable reports whether a request with the method may be sent twice.
+func (s *Service) IsRepeatable(method string) bool {
 	return slices.Contains(s.Repeatable, method)
 }
 
-// Takes reports whether the pool takes workers of a kind.
-func (p *Pool) Takes(kind string) bool {
+// AcceptsKind reports whether the pool takes workers of a kind.
+func (p *Pool) AcceptsKind(kind string) bool {
 	return len(p.Kinds) == 0 || slices.Contains(p.Kinds, kind)
 }
--- a/models/record/record.go
+++ b/models/record/record.go
@@ -13,32 +13,32 @@
 // Record is one proposal; exactly one of its fields is not nil. A record of a
 // newer release has none that this release knows.
 type Record struct {
-	Join     *Join     `cbor:"1,keyasint,omitempty"`
-	Leave    *Leave    `cbor:"2,keyasint,omitempty"`
-	Gone     *Gone     `cbor:"3,keyasint,omitempty"`
-	Lease    *Lease    `cbor:"4,keyasint,omitempty"`
-	Apply    *Apply    `cbor:"5,keyasint,omitempty"`
-	Sighting *Sighting `cbor:"6,keyasint,omitempty"`
-	Move     *Move     `cbor:"7,keyasint,omitempty"`
-	Drain    *Drain    `cbor:"8,keyasint,omitempty"`
-	Drained  *Drained  `cbor:"9,keyasint,omitempty"`
-	Reboot   *Reboot   `cbor:"10,keyasint,omitempty"`
-	Return   *Return   `cbor:"11,keyasint,omitempty"`
-	Handoff  *Handoff  `cbor:"12,keyasint,omitempty"`
-	Claim    *Claim    `cbor:"13,keyasint,omitempty"`
-	Result   *Result   `cbor:"14,keyasint,omitempty"`
-	Submit   *Submit   `cbor:"15,keyasint,omitempty"`
-	Cancel   *Cancel   `cbor:"16,keyasint,omitempty"`
-	Place    *Place    `cbor:"17,keyasint,omitempty"`
-	Progress *Progress `cbor:"18,keyasint,omitempty"`
-	SetAside *SetAside `cbor:"19,keyasint,omitempty"`
-	Snapshot *Snapshot `cbor:"20,keyasint,omitempty"`
+	Join       *Join       `cbor:"1,keyasint,omitempty"`
+	Leave      *Leave      `cbor:"2,keyasint,omitempty"`
+	Gone       *Gone       `cbor:"3,keyasint,omitempty"`
+	Lease      *Lease      `cbor:"4,keyasint,omitempty"`
+	Apply      *Apply      `cbor:"5,keyasint,omitempty"`
+	ListUpdate *ListUpdate `cbor:"6,keyasint,omitempty"`
+	Move       *Move       `cbor:"7,keyasint,omitempty"`
+	Drain      *Drain      `cbor:"8,keyasint,omitempty"`
+	Drained    *Drained    `cbor:"9,keyasint,omitempty"`
+	Reboot     *Reboot     `cbor:"10,keyasint,omitempty"`
+	Return     *Return     `cbor:"11,keyasint,omitempty"`
+	Handoff    *Handoff    `cbor:"12,keyasint,omitempty"`
+	Claim      *Claim      `cbor:"13,keyasint,omitempty"`
+	Result     *Result     `cbor:"14,keyasint,omitempty"`
+	Submit     *Submit     `cbor:"15,keyasint,omitempty"`
+	Cancel     *Cancel     `cbor:"16,keyasint,omitempty"`
+	Place      *Place      `cbor:"17,keyasint,omitempty"`
+	Progress   *Progress   `cbor:"18,keyasint,omitempty"`
+	Eject      *Eject      `cbor:"19,keyasint,omitempty"`
+	Snapshot   *Snapshot   `cbor:"20,keyasint,omitempty"`
 }
 
 // Join enters the writer's process into the roster of entries.
 type Join struct {
-	Address string `cbor:"1,keyasint"` // IP and port for peers
-	Hall    string `cbor:"2,keyasint"`
+	Address    string `cbor:"1,keyasint"` // IP and port for peers
+	DataCenter string `cbor:"2,keyasint"`
 }
 
 // Leave takes the writer out of the roster after it has finished its work.
@@ -66,7 +66,7 @@
 // Lease takes or renews a role for the writer.
 type Lease struct {
 	Role Role          `cbor:"1,keyasint"`
-	Life time.Duration `cbor:"2,keyasint"`
+	TTL  time.Duration `cbor:"2,keyasint"`
 }
 
 // Apply replaces declarative objects as a whole.
@@ -78,8 +78,8 @@
 	Operator   string            `cbor:"5,keyasint,omitempty"`
 }
 
-// Sighting reports what changed on the platform's instance list.
-type Sighting struct {
+// ListUpdate reports what changed on the platform's instance list.
+type ListUpdate struct {
 	Revision uint64         `cbor:"1,keyasint"`           // of the list, never goes back
 	Workers  []fleet.Worker `cbor:"2,keyasint,omitempty"` // that changed
 	Entries  []string       `cbor:"3,keyasint,omitempty"` // of the roster, listed for the first time
@@ -189,7 +189,7 @@
 	Done      RunState = "done"
 	Failed    RunState = "failed"
 	Cancelled RunState = "cancelled"
-	Unclear   RunState = "unknown" // may have run, is never run again by itself
+	Unknown   RunState = "unknown" // may have run, is never run again by itself
 )
 
 // Progress reports what became of a placed job.
@@ -202,8 +202,8 @@
 	NotRun  bool     `cbor:"6,keyasint,omitempty"` // the attempt surely never began
 }
 
-// SetAside keeps new jobs from a worker that fails them, until a time.
-type SetAside struct {
+// Eject keeps new jobs from a worker that fails them, until a time.
+type Eject struct {
 	Worker string    `cbor:"1,keyasint"`
 	Until  time.Time `cbor:"2,keyasint"`
 }
--- a/models/state/budget.go
+++ b/models/state/budget.go
@@ -12,14 +12,14 @@
 
 // Headroom describes how far a pool is from breaking its budget.
 type Headroom struct {
-	Serving   int // instances in service on live workers
-	Largest   int // of them in the largest failure domain
-	Available int // that must stay
+	Serving       int // instances in service on live workers
+	LargestDomain int // of them in the largest failure domain
+	MinAvailable  int // that must stay
 }
 
 // Spare returns how many instances could go while the loss of the largest
 // domain still leaves what must stay; it is negative where it would not.
-func (h Headroom) Spare() int { return h.Serving - h.Largest - h.Available }
+func (h Headroom) Spare() int { return h.Serving - h.LargestDomain - h.MinAvailable }
 
 // Headroom returns the headroom of a pool without the named workers.
 func (s State) Headroom(p *manifest.Pool, without ...string) Headroom {
@@ -29,34 +29,34 @@
 // HeadroomWith returns the headroom that a pool would have with more instances
 // in service, which may be none, and without the named workers.
 func (s State) HeadroomWith(p *manifest.Pool, more []Instance, without ...string) Headroom {
-	h := Headroom{Available: p.Available}
+	h := Headroom{MinAvailable: p.MinAvailable}
 	domains := make(map[string]int)
 	for _, i := range append(s.PoolInstances(p.Name), more...) {
 		if !i.Serving() || slices.Contains(without, i.Worker.ID) {
 			continue
 		}
 		h.Serving++
-		d := domainOf(p.Survive, i)
+		d := domainOf(p.FailureDomain, i)
 		domains[d]++
-		h.Largest = max(h.Largest, domains[d])
+		h.LargestDomain = max(h.LargestDomain, domains[d])
 	}
 	return h
 }
 
 // domainOf names the failure domain of an instance.
-func domainOf(d manifest.Domain, i Instance) string {
+func domainOf(d manifest.FailureDomain, i Instance) string {
 	switch d {
-	case manifest.DomainHall:
-		return i.Worker.Hall
+	case manifest.DomainDataCenter:
+		return i.Worker.DataCenter
 	case manifest.DomainWorker:
 		return i.Worker.ID
 	}
-	return i.Worker.Hall + "/" + i.Worker.Rack
+	return i.Worker.DataCenter + "/" + i.Worker.Rack
 }
 
-// MayDrain returns nil where the instance can be taken out of service and the
+// CheckDrain returns nil where the instance can be taken out of service and the
 // budget of its pool still holds through the loss of a further domain.
-func (s State) MayDrain(i Instance) error {
+func (s State) CheckDrain(i Instance) error {
 	p := s.Catalog.Pool(i.Pool)
 	if p == nil || !i.Serving() {
 		return nil // a spare or lost instance carries no budget
@@ -66,5 +66,5 @@
 		return nil
 	}
 	return errkind.New(errkind.Conflict, "pool %s would keep %d in service, %d of them in one %s, and must keep %d through its loss",
-		p.Name, h.Serving, h.Largest, p.Survive, h.Available)
+		p.Name, h.Serving, h.LargestDomain, p.FailureDomain, h.MinAvailable)
 }
--- a/models/state/catalog.go
+++ b/models/state/catalog.go
@@ -83,8 +83,8 @@
 	return o.Customer
 }
 
-// Live returns every object that is in force, in order.
-func (c Catalog) Live() []manifest.Object {
+// Active returns every object that is in force, in order.
+func (c Catalog) Active() []manifest.Object {
 	var objects []manifest.Object
 	for _, e := range c.Objects.All() {
 		if !e.Deleted {
@@ -98,7 +98,7 @@
 // for none.
 func (c Catalog) Maintenance() *manifest.Maintenance {
 	var shortest *manifest.Maintenance
-	for _, o := range c.Live() {
+	for _, o := range c.Active() {
 		if m := o.Maintenance; m != nil && (shortest == nil || m.Period < shortest.Period) {
 			shortest = m
 		}
@@ -109,7 +109,7 @@
 // Pools returns the declared pools by name.
 func (c Catalog) Pools() []*manifest.Pool {
 	var pools []*manifest.Pool
-	for _, o := range c.Live() {
+	for _, o := range c.Active() {
 		if o.Pool != nil {
 			pools = append(pools, o.Pool)
 		}
@@ -238,7 +238,7 @@
 // there.
 func (c Catalog) Check() error {
 	names := make(map[manifest.Ref]bool)
-	objects := c.Live()
+	objects := c.Active()
 	for _, o := range objects {
 		names[o.Ref()] = true
 	}
--- a/models/state/fold.go
+++ b/models/state/fold.go
@@ -19,7 +19,7 @@
 	State    State
 	Batch    record.Batch
 	Verdicts []Verdict // one a record, none for a duplicate or unreadable batch
-	Fresh    bool      // false for duplicates and what could not be read
+	Applied  bool      // false for duplicates and what could not be read
 }
 
 // Fold returns the state after one stored append. Appends must come in the
@@ -39,7 +39,7 @@
 	if !fresh {
 		return Folded{State: s.expire(), Batch: b}
 	}
-	f := Folded{Batch: b, Fresh: true, Verdicts: make([]Verdict, len(b.Records))}
+	f := Folded{Batch: b, Applied: true, Verdicts: make([]Verdict, len(b.Records))}
 	from := author{name: b.Writer, incarnation: b.Incarnation}
 	for i, r := range b.Records {
 		next, err := s.foldRecord(from, r)
@@ -111,9 +111,9 @@
 	return s, nil
 }
 
-// Try returns the state as it would be after a record of a process, without
+// DryRun returns the state as it would be after a record of a process, without
 // appending anything, and the verdict that the record would get now.
-func (s State) Try(entry string, incarnation uint64, r record.Record) (State, Verdict) {
+func (s State) DryRun(entry string, incarnation uint64, r record.Record) (State, Verdict) {
 	next, err := s.foldRecord(author{entry, incarnation}, r)
 	if err != nil {
 		return s, err
@@ -123,8 +123,8 @@
 
 // foldSnapshot notes that a snapshot is whole, so that the next one can wait.
 func (s State) foldSnapshot(c record.Snapshot) State {
-	if c.Index == c.Count-1 && c.Offset > s.SnapshotOf {
-		s.SnapshotOf = c.Offset
+	if c.Index == c.Count-1 && c.Offset > s.SnapshotOffset {
+		s.SnapshotOffset = c.Offset
 		s.SnapshotAt = s.Now
 	}
 	return s
@@ -150,7 +150,7 @@
 	s.Leases = s.Leases.With(string(l.Role), Lease{
 		Holder:      from.name,
 		Incarnation: from.incarnation,
-		Until:       s.Now.Add(l.Life),
+		Until:       s.Now.Add(l.TTL),
 	})
 	return s, nil
 }
--- a/models/state/fold_instance.go
+++ b/models/state/fold_instance.go
@@ -17,8 +17,8 @@
 func (s State) foldInstanceRecord(from author, r record.Record) (next State, known bool, err error) {
 	known = true
 	switch {
-	case r.Sighting != nil:
-		next, err = s.foldSighting(*r.Sighting)
+	case r.ListUpdate != nil:
+		next, err = s.foldSighting(*r.ListUpdate)
 	case r.Move != nil:
 		next, err = s.foldMove(*r.Move)
 	case r.Drain != nil:
@@ -31,8 +31,8 @@
 		next, err = s.foldReturn(*r.Return)
 	case r.Handoff != nil:
 		next, err = s.foldHandoff(from, *r.Handoff)
-	case r.SetAside != nil:
-		next, err = s.foldSetAside(*r.SetAside)
+	case r.Eject != nil:
+		next, err = s.foldSetAside(*r.Eject)
 	default:
 		return s, false, nil
 	}
@@ -41,7 +41,7 @@
 
 // foldSighting takes over what the platform's list shows; an older list than
 // one already folded is rejected.
-func (s State) foldSighting(g record.Sighting) (State, error) {
+func (s State) foldSighting(g record.ListUpdate) (State, error) {
 	if g.Revision <= s.ListRevision {
 		return s, errkind.New(errkind.Conflict, "list revision %d is not newer than %d", g.Revision, s.ListRevision)
 	}
@@ -63,7 +63,7 @@
 	if !known {
 		i = Instance{Pool: manifest.SparePool, Phase: InService, MaintainedAt: s.Now}
 	}
-	if w.Boot > i.Worker.Boot {
+	if w.BootCount > i.Worker.BootCount {
 		i.MaintainedAt = s.Now
 	}
 	lost := known && i.Worker.Condition != fleet.Gone && w.Condition == fleet.Gone
@@ -139,7 +139,7 @@
 	if p == nil {
 		return errkind.New(errkind.NotFound, "pool %s is not declared", pool)
 	}
-	if !p.Takes(i.Worker.Kind) {
+	if !p.AcceptsKind(i.Worker.Kind) {
 		return errkind.New(errkind.Conflict, "pool %s takes no workers of kind %q", pool, i.Worker.Kind)
 	}
 	return nil
@@ -153,7 +153,7 @@
 	i.Pool = pool
 	i.Phase = InService
 	i.Purpose = ""
-	i.To = ""
+	i.MoveTo = ""
 	return s.keep(s.withOwner(i))
 }
 
@@ -171,12 +171,12 @@
 			return s, err
 		}
 	}
-	if err := s.MayDrain(i); err != nil {
+	if err := s.CheckDrain(i); err != nil {
 		return s, err
 	}
 	i.Phase = Draining
 	i.Purpose = d.Purpose
-	i.To = d.To
+	i.MoveTo = d.To
 	if i.Owner == "" {
 		i.Phase = Drained // nobody could have sent it a request
 	}
@@ -199,7 +199,7 @@
 	if i.Phase != Drained || i.Purpose != record.ForMove || s.busy(worker) {
 		return s
 	}
-	return s.enter(i, i.To)
+	return s.enter(i, i.MoveTo)
 }
 
 // foldReboot accepts the intent to reboot a worker that is idle. Its writer
@@ -210,14 +210,14 @@
 	if err != nil {
 		return s, err
 	}
-	orphaned := i.Phase == Rebooting && i.Worker.Boot == i.DrainBoot && !s.present(i.Rebooter, i.RebooterInc)
+	orphaned := i.Phase == Rebooting && i.Worker.BootCount == i.BootCountAtReboot && !s.present(i.Rebooter, i.RebooterIncarnation)
 	if !orphaned && (i.Phase != Drained || i.Purpose != record.ForMaintenance || s.busy(r.Worker)) {
 		return s, errkind.New(errkind.Conflict, "worker %s is not idle and drained for maintenance", r.Worker)
 	}
 	i.Phase = Rebooting
-	i.DrainBoot = i.Worker.Boot
+	i.BootCountAtReboot = i.Worker.BootCount
 	i.Rebooter = from.name
-	i.RebooterInc = from.incarnation
+	i.RebooterIncarnation = from.incarnation
 	return s.keep(i), nil
 }
 
@@ -227,7 +227,7 @@
 	if err != nil {
 		return s, err
 	}
-	if i.Phase != Rebooting || i.Worker.Boot <= i.DrainBoot || i.Worker.Condition != fleet.Live {
+	if i.Phase != Rebooting || i.Worker.BootCount <= i.BootCountAtReboot || i.Worker.Condition != fleet.Live {
 		return s, errkind.New(errkind.Conflict, "worker %s has not come back from its reboot", r.Worker)
 	}
 	return s.enter(i, i.Pool), nil
@@ -244,21 +244,21 @@
 	}
 	i.Owner = h.To
 	i.Epoch = s.Offset
-	i.First = false
+	i.FirstOwner = false
 	return s.withInstance(i), nil
 }
 
-// MaxAside bounds how long a worker is kept from new jobs by one record.
-const MaxAside = time.Hour
+// MaxEjection bounds how long a worker is kept from new jobs by one record.
+const MaxEjection = time.Hour
 
-func (s State) foldSetAside(a record.SetAside) (State, error) {
+func (s State) foldSetAside(a record.Eject) (State, error) {
 	i, ok := s.Instances.Get(a.Worker)
 	if !ok {
 		return s, errkind.New(errkind.NotFound, "worker %s is not known", a.Worker)
 	}
-	if a.Until.After(s.Now.Add(MaxAside)) {
-		return s, errkind.New(errkind.BadRequest, "a worker is set aside for %s at most", MaxAside)
+	if a.Until.After(s.Now.Add(MaxEjection)) {
+		return s, errkind.New(errkind.BadRequest, "a worker is set aside for %s at most", MaxEjection)
 	}
-	i.AsideUntil = a.Until
+	i.EjectedUntil = a.Until
 	return s.withInstance(i), nil
 }
--- a/models/state/fold_job.go
+++ b/models/state/fold_job.go
@@ -52,11 +52,11 @@
 		return s, err
 	}
 	return next.withRun(b.ID, Run{
-		Job:         b.Job,
-		Submitted:   s.Offset,
-		SubmittedAt: s.Now,
-		Deadline:    b.Deadline,
-		State:       record.Pending,
+		Job:             b.Job,
+		SubmittedOffset: s.Offset,
+		SubmittedAt:     s.Now,
+		Deadline:        b.Deadline,
+		State:           record.Pending,
 	}), nil
 }
 
@@ -123,10 +123,10 @@
 
 func (s State) mayPlace(r Run, p record.Place) error {
 	i, ok := s.Instances.Get(p.Worker)
-	if !ok || !i.Serving() || i.Pool != r.Job.Pool || i.AsideUntil.After(s.Now) {
+	if !ok || !i.Serving() || i.Pool != r.Job.Pool || i.EjectedUntil.After(s.Now) {
 		return errkind.New(errkind.Conflict, "worker %s takes no jobs of pool %s", p.Worker, r.Job.Pool)
 	}
-	use := s.UseOf(p.Worker)
+	use := s.WorkerUsage(p.Worker)
 	if !use.Fits(i, p.Cores, p.MemoryGB, r.Job.Accelerators) {
 		return errkind.New(errkind.Conflict, "worker %s has no room", p.Worker)
 	}
@@ -134,10 +134,10 @@
 	if team == nil {
 		return errkind.New(errkind.Conflict, "team %s is not declared", r.Job.Team)
 	}
-	if !s.TeamUse(r.Job.Team).Within(team, p.Cores, p.MemoryGB, r.Job.Accelerators) {
+	if !s.TeamUsage(r.Job.Team).WithinQuota(team, p.Cores, p.MemoryGB, r.Job.Accelerators) {
 		return errkind.New(errkind.Conflict, "team %s has used up its quota", r.Job.Team)
 	}
-	if !s.CustomerUse(r.Job.Customer).WithinLimit(s.Catalog.Customer(r.Job.Customer), p.Cores, p.MemoryGB, r.Job.Accelerators) {
+	if !s.CustomerUsage(r.Job.Customer).WithinLimit(s.Catalog.Customer(r.Job.Customer), p.Cores, p.MemoryGB, r.Job.Accelerators) {
 		return errkind.New(errkind.Conflict, "customer %s has used up its limit", r.Job.Customer)
 	}
 	return nil
@@ -161,7 +161,7 @@
 			return s.waitAgain(p.ID, r, p.Reason), nil
 		}
 		return s.retryRun(p.ID, r, p.Reason), nil
-	case record.Done, record.Failed, record.Unclear:
+	case record.Done, record.Failed, record.Unknown:
 		return s.endRun(p.ID, r, p.State, p.Reason), nil
 	}
 	return s, errkind.New(errkind.BadRequest, "state %q is no progress", p.State)
@@ -171,7 +171,7 @@
 // repeated: it may have had its effect.
 func (s State) retryRun(id string, r Run, reason string) State {
 	if !r.Job.Repeatable {
-		return s.endRun(id, r, record.Unclear, reason)
+		return s.endRun(id, r, record.Unknown, reason)
 	}
 	return s.waitAgain(id, r, reason)
 }
@@ -206,7 +206,7 @@
 
 // busy reports whether a job holds room on the worker.
 func (s State) busy(worker string) bool {
-	return s.UseOf(worker).Runs > 0
+	return s.WorkerUsage(worker).Runs > 0
 }
 
 // expireRuns forgets ended runs whose IDs can't be submitted again.
--- a/models/state/fold_roster.go
+++ b/models/state/fold_roster.go
@@ -30,7 +30,7 @@
 		Incarnation: from.incarnation,
 		Sequence:    1,
 		Address:     j.Address,
-		Hall:        j.Hall,
+		DataCenter:  j.DataCenter,
 		JoinedAt:    s.Offset,
 		Present:     true,
 		LostAt:      lostAt,
@@ -80,7 +80,7 @@
 		}
 		i.Owner = s.chooseOwner(i)
 		i.Epoch = s.Offset
-		i.First = false
+		i.FirstOwner = false
 		s = s.withInstance(i)
 	}
 	return s
@@ -106,7 +106,7 @@
 	if i.Owner == "" {
 		return i
 	}
-	i.First = i.Epoch == 0
+	i.FirstOwner = i.Epoch == 0
 	i.Epoch = s.Offset
 	return i
 }
@@ -121,10 +121,10 @@
 func (s State) chooseOwner(i Instance) string {
 	best := ""
 	var bestRank ownerRank
-	for _, name := range s.Roster() {
+	for _, name := range s.MemberNames() {
 		e, _ := s.Entries.Get(name)
 		inAll, _ := s.index.ownedAll.Get(name)
-		rank := ownerRank{inPool: s.Owned(name, i.Pool), inAll: inAll, away: e.Hall != i.Worker.Hall}
+		rank := ownerRank{inPool: s.OwnedCount(name, i.Pool), inAll: inAll, away: e.DataCenter != i.Worker.DataCenter}
 		if best == "" || rank.before(bestRank) {
 			best, bestRank = name, rank
 		}
--- a/models/state/history_test.go
+++ b/models/state/history_test.go
@@ -63,20 +63,20 @@
 func seeded(racks int) *history {
 	h := newHistory()
 	for _, w := range writers {
-		h.put(w, record.Record{Join: &record.Join{Address: w, Hall: "h0"}})
+		h.put(w, record.Record{Join: &record.Join{Address: w, DataCenter: "h0"}})
 	}
 	var workers []fleet.Worker
 	for i := range racks * 4 {
 		workers = append(workers, fleet.Worker{
-			ID: fmt.Sprintf("w%02d", i), Hall: fmt.Sprintf("h%d", i/4%2), Rack: fmt.Sprintf("r%d", i/4),
+			ID: fmt.Sprintf("w%02d", i), DataCenter: fmt.Sprintf("h%d", i/4%2), Rack: fmt.Sprintf("r%d", i/4),
 			Cores: 16, MemoryGB: 32, Slots: 8, Condition: fleet.Live,
 		})
 	}
-	h.put("a", record.Record{Sighting: &record.Sighting{Revision: 1, Workers: workers}})
+	h.put("a", record.Record{ListUpdate: &record.ListUpdate{Revision: 1, Workers: workers}})
 	h.put("a", record.Record{Apply: &record.Apply{Deployment: "d", Put: []manifest.Object{
 		{Team: &manifest.Team{Name: "t", QuotaCores: 64, QuotaMemoryGB: 64}},
-		{Pool: &manifest.Pool{Name: "p", Team: "t", Size: 4, Available: 2, Survive: manifest.DomainRack}},
-		{Pool: &manifest.Pool{Name: "q", Team: "t", Size: 3, Available: 1, Survive: manifest.DomainHall}},
+		{Pool: &manifest.Pool{Name: "p", Team: "t", Size: 4, MinAvailable: 2, FailureDomain: manifest.DomainRack}},
+		{Pool: &manifest.Pool{Name: "q", Team: "t", Size: 3, MinAvailable: 1, FailureDomain: manifest.DomainDataCenter}},
 	}}})
 	return h
 }
@@ -104,11 +104,11 @@
 	case 7:
 		w := i.Worker
 		w.Condition = rapid.SampledFrom([]fleet.Condition{fleet.Live, fleet.Leaving, fleet.Gone}).Draw(t, "condition")
-		w.Boot += rapid.IntRange(0, 1).Draw(t, "boot")
+		w.BootCount += rapid.IntRange(0, 1).Draw(t, "boot")
 		if w.ID == "" {
 			w.ID = worker
 		}
-		return record.Record{Sighting: &record.Sighting{Revision: s.ListRevision + 1, Workers: []fleet.Worker{w}}}
+		return record.Record{ListUpdate: &record.ListUpdate{Revision: s.ListRevision + 1, Workers: []fleet.Worker{w}}}
 	case 8:
 		return record.Record{Claim: &record.Claim{Key: key, Sum: []byte("s")}}
 	case 9:
@@ -152,7 +152,7 @@
 func (h *history) repeatLast(t *rapid.T) {
 	before := h.state()
 	f := h.putData(h.log[len(h.log)-1].Data)
-	if f.Fresh {
+	if f.Applied {
 		t.Fatalf("a repeated batch was taken for a new one")
 	}
 	after := f.State
@@ -210,8 +210,8 @@
 		if p == nil || was.Worker.Condition != fleet.Live {
 			continue
 		}
-		if left := survivors(f.State, p); left < p.Available && onlyDrains(f) {
-			t.Fatalf("draining %s leaves pool %s with %d after the loss of a domain, must keep %d", r.Drain.Worker, p.Name, left, p.Available)
+		if left := survivors(f.State, p); left < p.MinAvailable && onlyDrains(f) {
+			t.Fatalf("draining %s leaves pool %s with %d after the loss of a domain, must keep %d", r.Drain.Worker, p.Name, left, p.MinAvailable)
 		}
 	}
 }
@@ -235,10 +235,10 @@
 			continue
 		}
 		all++
-		if p.Survive == manifest.DomainHall {
-			domains[i.Worker.Hall]++
+		if p.FailureDomain == manifest.DomainDataCenter {
+			domains[i.Worker.DataCenter]++
 		} else {
-			domains[i.Worker.Hall+i.Worker.Rack]++
+			domains[i.Worker.DataCenter+i.Worker.Rack]++
 		}
 	}
 	worst := 0
@@ -278,12 +278,12 @@
 	h := seeded(1)
 	before := h.state()
 	f := h.putData([]byte("no batch"))
-	assert.Assert(t, !f.Fresh)
+	assert.Assert(t, !f.Applied)
 	assert.Equal(t, f.State.Unreadable, uint64(1))
 	// A record of a newer release has no field that this one knows.
-	f = h.put("b", record.Record{}, record.Record{Lease: &record.Lease{Role: record.RolePools, Life: time.Second}})
+	f = h.put("b", record.Record{}, record.Record{Lease: &record.Lease{Role: record.RolePools, TTL: time.Second}})
 	assert.Equal(t, f.State.Unreadable, uint64(2))
-	assert.Assert(t, f.State.Holds(record.RolePools, "b", 1))
+	assert.Assert(t, f.State.HoldsRole(record.RolePools, "b", 1))
 	assert.Equal(t, f.State.Instances.Len(), before.Instances.Len())
 }
 
--- a/models/state/index.go
+++ b/models/state/index.go
@@ -36,9 +36,9 @@
 	return s
 }
 
-// Topology grows whenever instances, the owners of slots or the roster change,
+// TopologyChangedAt grows whenever instances, the owners of slots or the roster change,
 // so that books kept on them need no other look at the state.
-func (s State) Topology() uint64 { return s.topology }
+func (s State) TopologyChangedAt() uint64 { return s.topology }
 
 // withEntry stores an entry of the roster.
 func (s State) withEntry(name string, e Entry) State {
@@ -50,7 +50,7 @@
 // withInstance stores an instance and keeps the indexes true.
 func (s State) withInstance(i Instance) State {
 	s = s.withoutInstance(i.Worker.ID)
-	s.OwnersAt = max(s.OwnersAt, i.Epoch)
+	s.OwnersChangedAt = max(s.OwnersChangedAt, i.Epoch)
 	s.topology = s.Offset
 	s.Instances = s.Instances.With(i.Worker.ID, i)
 	s.index.members = s.index.members.With(i.Pool, i.Worker.ID, struct{}{})
@@ -92,8 +92,8 @@
 
 func ownedKey(entry, pool string) string { return entry + " " + pool }
 
-// Owned returns how many instances of a pool an entry owns the slots of.
-func (s State) Owned(entry, pool string) int {
+// OwnedCount returns how many instances of a pool an entry owns the slots of.
+func (s State) OwnedCount(entry, pool string) int {
 	n, _ := s.index.owned.Get(ownedKey(entry, pool))
 	return n
 }
--- a/models/state/index_run.go
+++ b/models/state/index_run.go
@@ -20,8 +20,8 @@
 	waiting   table.Groups[struct{}] // by pool
 	placed    table.Groups[struct{}] // not known to run yet, by the entry that starts them
 	onWorker  table.Groups[struct{}] // by worker
-	useOn     table.Table[Use]       // by worker
-	useOf     table.Table[Use]       // by team
+	useOn     table.Table[Usage]     // by worker
+	useOf     table.Table[Usage]     // by team
 	teamAt    table.Table[uint64]    // offset of the newest change of a team's use
 	usedCores table.Groups[int]      // by job, runs by the processors that they used
 	ends      table.Table[string]    // ended runs by the time at which they are forgotten
@@ -108,9 +108,9 @@
 // coresKey is a text that sorts as the number does.
 func coresKey(cores int) string { return fmt.Sprintf("%09d", cores) }
 
-// LargestUse returns the most processors that any remembered run of a job has
+// MaxUsedCores returns the most processors that any remembered run of a job has
 // used, 0 for not known.
-func (s State) LargestUse(job string) int {
+func (s State) MaxUsedCores(job string) int {
 	most := 0
 	for key := range s.index.runs.usedCores.Of(job).All() {
 		most, _ = strconv.Atoi(key) // coresKey alone makes them, in order
@@ -193,8 +193,8 @@
 	return at
 }
 
-// UseOf returns the room that jobs hold on a worker.
-func (s State) UseOf(worker string) Use {
+// WorkerUsage returns the room that jobs hold on a worker.
+func (s State) WorkerUsage(worker string) Usage {
 	u, _ := s.index.runs.useOn.Get(worker)
 	return u
 }
@@ -207,11 +207,11 @@
 // "" for nobody's, use, 0 for none.
 func (s State) CustomerChangedAt(name string) uint64 { return s.TeamChangedAt(customerKey(name)) }
 
-// CustomerUse returns the room that the jobs of a customer, "" for nobody's, hold over all pools.
-func (s State) CustomerUse(name string) Use { return s.TeamUse(customerKey(name)) }
+// CustomerUsage returns the room that the jobs of a customer, "" for nobody's, hold over all pools.
+func (s State) CustomerUsage(name string) Usage { return s.TeamUsage(customerKey(name)) }
 
-// TeamUse returns the room that the jobs of a team hold.
-func (s State) TeamUse(team string) Use {
+// TeamUsage returns the room that the jobs of a team hold.
+func (s State) TeamUsage(team string) Usage {
 	u, _ := s.index.runs.useOf.Get(team)
 	return u
 }
--- a/models/state/mark.go
+++ b/models/state/mark.go
@@ -3,9 +3,9 @@
 
 package state
 
-// Mark is a point of the log: an offset, or a batch of a process whose offset
+// Position is a point of the log: an offset, or a batch of a process whose offset
 // is not known yet.
-type Mark struct {
+type Position struct {
 	Offset      uint64 `json:"offset,omitempty"` // everything before it; without a writer
 	Writer      string `json:"writer,omitempty"`
 	Incarnation uint64 `json:"inc,omitempty"` // of the writer
@@ -15,7 +15,7 @@
 // Reached reports whether the state has folded everything up to a mark. What a
 // process wrote that was replaced since counts as folded: it has no effect any
 // more.
-func (s State) Reached(m Mark) bool {
+func (s State) Reached(m Position) bool {
 	if m.Writer == "" {
 		return s.Offset >= m.Offset
 	}
--- a/models/state/rules_test.go
+++ b/models/state/rules_test.go
@@ -37,7 +37,7 @@
 
 func TestDeposedAndPausedWriters(t *testing.T) {
 	h := seeded(1)
-	lease := record.Record{Lease: &record.Lease{Role: record.RolePools, Life: time.Second}}
+	lease := record.Record{Lease: &record.Lease{Role: record.RolePools, TTL: time.Second}}
 	assert.NilError(t, h.put("a", lease).Verdicts[0])
 	assert.Assert(t, errkind.IsErrConflict(h.put("b", lease).Verdicts[0]))
 	h.now = h.now.Add(time.Minute)
@@ -49,12 +49,12 @@
 	assert.Assert(t, errkind.IsErrConflict(h.put("a", stale).Verdicts[0]))
 	// A process that was replaced is not heard at all.
 	h.putBatch(record.Batch{Writer: "a", Incarnation: 2, Sequence: 1, Records: []record.Record{{Join: &record.Join{}}}})
-	assert.Assert(t, !h.put("a", lease).Fresh)
+	assert.Assert(t, !h.put("a", lease).Applied)
 }
 
 func TestRebootIsAskedForByItsWriterAlone(t *testing.T) {
 	h := seeded(2)
-	h.put("a", record.Record{Lease: &record.Lease{Role: record.RolePools, Life: time.Hour}})
+	h.put("a", record.Record{Lease: &record.Lease{Role: record.RolePools, TTL: time.Hour}})
 	i, _ := h.state().Instances.Get("w00")
 	assert.NilError(t, h.put("a", record.Record{Drain: &record.Drain{Worker: "w00", Version: i.Version, Purpose: record.ForMaintenance}}).Verdicts[0])
 	reboot := func(by string) error {
@@ -63,7 +63,7 @@
 	}
 	assert.NilError(t, reboot("a"))
 	assert.Assert(t, errkind.IsErrConflict(reboot("b")), "a second process may reboot the worker when it is back in service")
-	h.put("b", record.Record{Sighting: &record.Sighting{Revision: 2, Entries: []string{"a"}}})
+	h.put("b", record.Record{ListUpdate: &record.ListUpdate{Revision: 2, Entries: []string{"a"}}})
 	assert.NilError(t, h.put("b", record.Record{Gone: &record.Gone{Entry: "a", Incarnation: 1}}).Verdicts[0])
 	assert.NilError(t, reboot("b"))
 }
@@ -79,10 +79,10 @@
 	assert.NilError(t, h.put("a", place).Verdicts[0])
 	assert.Assert(t, errkind.IsErrConflict(h.put("b", place).Verdicts[0]))
 	// The process that alone may start it is lost: nobody knows whether it did.
-	h.put("b", record.Record{Sighting: &record.Sighting{Revision: 2, Entries: []string{"a"}}})
+	h.put("b", record.Record{ListUpdate: &record.ListUpdate{Revision: 2, Entries: []string{"a"}}})
 	f := h.put("b", record.Record{Gone: &record.Gone{Entry: "a", Incarnation: 1}})
 	r, _ := f.State.Runs.Get("deposit@2026-03-02")
-	assert.Equal(t, r.State, record.Unclear)
+	assert.Equal(t, r.State, record.Unknown)
 	place.Place.Attempt = 2
 	assert.Assert(t, errkind.IsErrConflict(h.put("b", place).Verdicts[0]))
 	assert.Assert(t, errkind.Is(h.put("b", submit).Verdicts[0], errkind.AlreadyRun))
@@ -111,9 +111,9 @@
 		return h.put("a", record.Record{Drain: &record.Drain{Worker: w, Version: i.Version, Purpose: record.ForMaintenance}}).Verdicts[0]
 	}
 	lost, _ := h.state().Instances.Get("w04")
-	h.put("a", record.Record{Sighting: &record.Sighting{Revision: 2, Workers: []fleet.Worker{lost.Worker.WithCondition(fleet.Gone)}}})
+	h.put("a", record.Record{ListUpdate: &record.ListUpdate{Revision: 2, Workers: []fleet.Worker{lost.Worker.WithCondition(fleet.Gone)}}})
 	assert.ErrorContains(t, drain("w00"), "pool p would keep 2 in service")
-	h.put("a", record.Record{Sighting: &record.Sighting{Revision: 3, Workers: []fleet.Worker{lost.Worker}}})
+	h.put("a", record.Record{ListUpdate: &record.ListUpdate{Revision: 3, Workers: []fleet.Worker{lost.Worker}}})
 	assert.NilError(t, drain("w00"))
 	assert.ErrorContains(t, drain("w08"), "must keep 2 through its loss")
 }
@@ -212,15 +212,15 @@
 	stale := record.Record{Drain: &record.Drain{Worker: "w00", Version: i.Version, Purpose: record.ForMaintenance}}
 	// Something has happened to the worker since the decision was made.
 	rebooted := i.Worker
-	rebooted.Boot++
-	h.put("b", record.Record{Sighting: &record.Sighting{Revision: 2, Workers: []fleet.Worker{rebooted}}})
+	rebooted.BootCount++
+	h.put("b", record.Record{ListUpdate: &record.ListUpdate{Revision: 2, Workers: []fleet.Worker{rebooted}}})
 	assert.ErrorContains(t, h.put("a", stale).Verdicts[0], "the proposal was made on")
 }
 
 func TestProcessThatHasLeftIsNotHeard(t *testing.T) {
 	h := seeded(1)
 	assert.NilError(t, h.put("a", record.Record{Leave: &record.Leave{}}).Verdicts[0])
-	assert.Assert(t, !h.put("a", record.Record{Lease: &record.Lease{Role: record.RoleJobs}}).Fresh)
+	assert.Assert(t, !h.put("a", record.Record{Lease: &record.Lease{Role: record.RoleJobs}}).Applied)
 }
 
 func TestSubmissionWithAKeyCountsOnce(t *testing.T) {
--- a/models/state/snapshot.go
+++ b/models/state/snapshot.go
@@ -47,14 +47,14 @@
 		Entries:      s.Entries.Map(),
 		Leases:       s.Leases.Map(),
 		Instances:    s.Instances.Map(),
-		OwnersAt:     s.OwnersAt,
+		OwnersAt:     s.OwnersChangedAt,
 		ListRevision: s.ListRevision,
 		Claims:       s.Claims.Map(),
 		Runs:         s.Runs.Map(),
 		LastDaily:    s.LastDaily.Map(),
 		Unreadable:   s.Unreadable,
 		SnapshotAt:   s.SnapshotAt,
-		SnapshotOf:   s.SnapshotOf,
+		SnapshotOf:   s.SnapshotOffset,
 	})
 	return data, errors.Annotate(err, "encoding the state")
 }
@@ -66,20 +66,20 @@
 		return State{}, errors.Annotate(err, "decoding a state")
 	}
 	s := State{
-		Offset:       d.Offset,
-		Now:          d.Now,
-		Catalog:      Catalog{Version: d.Version, Objects: table.Of(d.Objects)},
-		Entries:      table.Of(d.Entries),
-		Leases:       table.Of(d.Leases),
-		Instances:    table.Of(d.Instances),
-		OwnersAt:     d.OwnersAt,
-		ListRevision: d.ListRevision,
-		Claims:       table.Of(d.Claims),
-		Runs:         table.Of(d.Runs),
-		LastDaily:    table.Of(d.LastDaily),
-		Unreadable:   d.Unreadable,
-		SnapshotAt:   d.SnapshotAt,
-		SnapshotOf:   d.SnapshotOf,
+		Offset:          d.Offset,
+		Now:             d.Now,
+		Catalog:         Catalog{Version: d.Version, Objects: table.Of(d.Objects)},
+		Entries:         table.Of(d.Entries),
+		Leases:          table.Of(d.Leases),
+		Instances:       table.Of(d.Instances),
+		OwnersChangedAt: d.OwnersAt,
+		ListRevision:    d.ListRevision,
+		Claims:          table.Of(d.Claims),
+		Runs:            table.Of(d.Runs),
+		LastDaily:       table.Of(d.LastDaily),
+		Unreadable:      d.Unreadable,
+		SnapshotAt:      d.SnapshotAt,
+		SnapshotOffset:  d.SnapshotOf,
 	}
 	return s.Reindex(), nil
 }
--- a/models/state/use.go
+++ b/models/state/use.go
@@ -5,8 +5,8 @@
 
 import "github.com/yardbridge/yardbridge/models/manifest"
 
-// Use is the room that jobs hold.
-type Use struct {
+// Usage is the room that jobs hold.
+type Usage struct {
 	Runs         int
 	Cores        int
 	MemoryGB     int
@@ -14,7 +14,7 @@
 }
 
 // with adds a run, or takes it away with by = -1.
-func (u Use) with(r Run, by int) Use {
+func (u Usage) with(r Run, by int) Usage {
 	u.Runs += by
 	u.Cores += by * r.Cores
 	u.MemoryGB += by * r.MemoryGB
@@ -23,7 +23,7 @@
 }
 
 // Fits reports whether a job of the size fits beside what the worker runs.
-func (u Use) Fits(i Instance, cores, memoryGB, accelerators int) bool {
+func (u Usage) Fits(i Instance, cores, memoryGB, accelerators int) bool {
 	w := i.Worker
 	return u.Cores+cores <= w.Cores &&
 		u.MemoryGB+memoryGB <= w.MemoryGB &&
@@ -32,7 +32,7 @@
 
 // WithinLimit reports whether a job of the size keeps a customer within its limits, of which
 // 0 is none; nil has none.
-func (u Use) WithinLimit(c *manifest.Customer, cores, memoryGB, accelerators int) bool {
+func (u Usage) WithinLimit(c *manifest.Customer, cores, memoryGB, accelerators int) bool {
 	if c == nil {
 		return true
 	}
@@ -41,8 +41,8 @@
 		(c.LimitAccelerators == 0 || u.Accelerators+accelerators <= c.LimitAccelerators)
 }
 
-// Within reports whether a job of the size keeps the team within its quota.
-func (u Use) Within(t *manifest.Team, cores, memoryGB, accelerators int) bool {
+// WithinQuota reports whether a job of the size keeps the team within its quota.
+func (u Usage) WithinQuota(t *manifest.Team, cores, memoryGB, accelerators int) bool {
 	return u.Cores+cores <= t.QuotaCores &&
 		u.MemoryGB+memoryGB <= t.QuotaMemoryGB &&
 		u.Accelerators+accelerators <= t.QuotaAccelerators
--- a/models/worker/worker.go
+++ b/models/worker/worker.go
@@ -24,13 +24,13 @@
 	Capacity   job.Size
 	Draining   bool
 	Remaining  time.Duration // at least until it leaves, while it drains
-	Cold       time.Duration // during which it is still slow from its start
-	Born       int64         // when it has started, in milliseconds since 1970 by its machine's time of day; 0 where the platform does not tell
+	WarmUp     time.Duration `cbor:"Cold"` // during which it is still slow from its start
+	StartedAt  int64         `cbor:"Born"` // when it has started, in milliseconds since 1970 by its machine's time of day; 0 where the platform does not tell
 	Revision   uint64        // of the list's record that said so
 }
 
-// Has reports whether the worker carries a label.
-func (w *Worker) Has(label string) bool {
+// HasLabel reports whether the worker carries a label.
+func (w *Worker) HasLabel(label string) bool {
 	for _, l := range w.Labels {
 		if l == label {
 			return true
--- a/node/dump.go
+++ b/node/dump.go
@@ -19,7 +19,7 @@
 // Dump returns what the node believes.
 func (n *Node) Dump() Dump {
 	d := Dump{
-		Node: n.Setting.Node.Name, Ready: n.Ready(), Version: n.Version(),
+		Node: n.Setting.Node.Name, Ready: n.Ready(), Version: n.ConfigVersion(),
 		Owners: make(map[string]string), Owned: make(map[string]scheduler.Report),
 	}
 	if v, _ := n.Directory.View(); v != nil {
@@ -36,11 +36,11 @@
 	return d
 }
 
-// Owned returns how many pools the node owns.
-func (n *Node) Owned() int64 { return int64(len(n.ownerList())) }
+// OwnedPools returns how many pools the node owns.
+func (n *Node) OwnedPools() int64 { return int64(len(n.ownerList())) }
 
-// Version returns the version of the configuration in force, 0 before the first.
-func (n *Node) Version() int64 {
+// ConfigVersion returns the version of the configuration in force, 0 before the first.
+func (n *Node) ConfigVersion() int64 {
 	c := n.Gateway.Config()
 	if c == nil {
 		return 0
--- a/node/entries_test.go
+++ b/node/entries_test.go
@@ -24,7 +24,7 @@
 		if string(r.Value) != "good" {
 			return worker.Worker{}, errors.New("unreadable")
 		}
-		return worker.Worker{ID: worker.ID(r.Key), Born: int64(r.Offset)}, nil
+		return worker.Worker{ID: worker.ID(r.Key), StartedAt: int64(r.Offset)}, nil
 	}
 	good, bad := []byte("good"), []byte("bad")
 	listed := func() []worker.ID { return slices.Sorted(maps.Keys(n.workers)) }
--- a/node/news.go
+++ b/node/news.go
@@ -30,7 +30,7 @@
 }
 
 func (n *Node) onProbe(context.Context, empty) (any, error) {
-	a := probeAnswer{Life: n.Directory.Self.Life}
+	a := probeAnswer{Life: n.Directory.Self.Incarnation}
 	if c := n.Gateway.Config(); c != nil {
 		a.Version = c.Version
 	}
@@ -128,6 +128,6 @@
 	}
 	c.n.operators(a.Operators, false)
 	if a.Directory != nil {
-		c.n.Directory.Adopt(a.Directory)
+		c.n.Directory.Merge(a.Directory)
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -42,8 +42,8 @@
 	// Listen and Dial connect nodes; nil does over TCP.
 	Listen func(address string) (net.Listener, error)
 	Dial   func(ctx context.Context, address string) (net.Conn, error)
-	// Found is told of each connection to a node that was found silent; nil tells nobody.
-	Found func(address string, after time.Duration)
+	// OnUnresponsive is told of each connection to a node that was found silent; nil tells nobody.
+	OnUnresponsive func(address string, after time.Duration)
 	// Count adds one to a counter; nil counts nothing.
 	Count func(counter string)
 }
@@ -56,7 +56,7 @@
 	Logger    log.Logger
 	Directory *directory.Directory
 	Gateway   *gateway.Gateway
-	Steward   *ownership.Manager
+	Ownership *ownership.Manager
 
 	hurry   chan struct{} // the list of workers is needed now
 	monitor *monitor.Monitor
@@ -83,8 +83,8 @@
 // nothing else yet.
 func New(s setting.Node, ports Ports, c clock.Clock, logger log.Logger) (*Node, error) {
 	n := &Node{Setting: s, Ports: ports, Clock: c, Logger: logger, workers: make(map[worker.ID]worker.Worker), starts: make(map[worker.ID]bool), owners: make(map[string]*owner.Owner), said: make(map[string]port.Record), hurry: make(chan struct{}, 1)}
-	n.client = &noderpc.Client{Logger: logger, Dial: ports.Dial, Found: ports.Found}
-	n.probes = &noderpc.Client{Logger: logger, Dial: ports.Dial, Found: ports.Found}
+	n.client = &noderpc.Client{Logger: logger, Dial: ports.Dial, Found: ports.OnUnresponsive}
+	n.probes = &noderpc.Client{Logger: logger, Dial: ports.Dial, Found: ports.OnUnresponsive}
 	n.server = &noderpc.Server{Logger: logger, Methods: n.methods(), Open: ports.Listen}
 	if _, err := n.server.Listen(s.Peers()); err != nil {
 		return nil, err
@@ -92,16 +92,16 @@
 	n.Directory = &directory.Directory{
 		Store: ports.Store, Clock: c, Logger: logger,
 		Self: directory.Node{
-			Name: s.Node.Name, Address: s.Peers(), Life: uint64(c.Now().UnixNano()),
+			Name: s.Node.Name, Address: s.Peers(), Incarnation: uint64(c.Now().UnixNano()),
 			Cores: s.Node.Cores, DataCenter: s.Node.DataCenter, LinkMbps: s.Node.LinkMbps,
 		},
 	}
 	n.Gateway = &gateway.Gateway{Directory: n.Directory, Clock: c, Logger: logger, Local: n.local, Remote: n.remote, Outdated: n.outdated}
-	n.Steward = &ownership.Manager{
+	n.Ownership = &ownership.Manager{
 		Directory: n.Directory, Clock: c, Logger: logger,
 		Config: n.Gateway.Config, Roles: duties, Open: n.open, ProbeTakeOver: n.offer, RequestTakeOver: n.take,
 	}
-	n.monitor = &monitor.Monitor{Directory: n.Directory, Clock: c, Logger: logger, Probe: n.probe, Ask: n.ask}
+	n.monitor = &monitor.Monitor{Directory: n.Directory, Clock: c, Logger: logger, Probe: n.probe, ProbeVia: n.ask}
 	return n, nil
 }
 
@@ -109,7 +109,7 @@
 func (n *Node) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
 	for _, run := range []func(context.Context){
-		n.server.Run, n.Directory.Run, n.monitor.Run, n.Steward.Run, n.followOperators, n.followWorkers,
+		n.server.Run, n.Directory.Run, n.monitor.Run, n.Ownership.Run, n.followOperators, n.followWorkers,
 	} {
 		tasks.Go(func() { run(ctx) })
 	}
@@ -131,7 +131,7 @@
 	n.mu.Lock()
 	n.stop = true
 	n.mu.Unlock()
-	n.Steward.HandOver(ctx)
+	n.Ownership.HandOver(ctx)
 	if err := n.Directory.Leave(ctx); err != nil {
 		n.Logger.Warn().Str("event", "stop").Err(err).Msg("this node's entry could not be taken away")
 	}
@@ -189,7 +189,7 @@
 func (n *Node) open(duty string, slot int) *ownership.RoleRunner {
 	logger := n.Logger.With().Str("pool", duty).Logger()
 	j := &journal.Journal{
-		Partition: n.partition(slot), Spare: n.spare(slot), SparePeriod: n.sparePeriod(), Store: n.Ports.Store, Clock: n.Clock, Logger: logger,
+		Partition: n.partition(slot), Standby: n.spare(slot), StandbyProbePeriod: n.sparePeriod(), Store: n.Ports.Store, Clock: n.Clock, Logger: logger,
 		Count: n.Ports.Count,
 	}
 	if duty == fleetDuty {
@@ -214,7 +214,7 @@
 		n.inform(ctx, o)
 		return o.Run(ctx)
 	}
-	return &ownership.RoleRunner{Claim: o.Claim, Run: run, Stuck: j.StuckFor, Epoch: o.Epoch, Done: o.Done}
+	return &ownership.RoleRunner{Claim: o.Claim, Run: run, Stuck: j.IsStuck, Epoch: o.Epoch, Done: o.Done}
 }
 
 // openFleet returns the tenant that decides on instances.
@@ -228,7 +228,7 @@
 			return n.Ports.Feeds.ReportWave(ctx, n.Ports.Store, wave, done)
 		},
 	}
-	return &ownership.RoleRunner{Claim: m.Claim, Run: m.Run, Stuck: j.StuckFor, Epoch: m.Epoch, Done: m.Done}
+	return &ownership.RoleRunner{Claim: m.Claim, Run: m.Run, Stuck: j.IsStuck, Epoch: m.Epoch, Done: m.Done}
 }
 
 // owner returns the owner of a pool on this node, nil for none.
@@ -346,7 +346,7 @@
 func (n *Node) followWorkers(ctx context.Context) {
 	f := follow.Follower{
 		Store: n.Ports.Store, Partition: n.Ports.Feeds.Workers, Clock: n.Clock, Logger: n.Logger,
-		Gap: func() time.Duration { return workersGap }, Hurry: n.hurry, Idle: n.ownsNoPool,
+		Gap: func() time.Duration { return workersGap }, Wake: n.hurry, Idle: n.ownsNoPool,
 		Apply: func(records []port.Record, whole bool) { n.list(ctx, records, whole) },
 	}
 	f.Run(ctx)
@@ -404,7 +404,7 @@
 func (n *Node) lacksStart(w *worker.Worker) bool {
 	logged, known := n.starts[w.ID]
 	switch {
-	case w.Born > 0:
+	case w.StartedAt > 0:
 		n.starts[w.ID] = false
 		return false
 	case !known:
--- a/node/rpc.go
+++ b/node/rpc.go
@@ -115,7 +115,7 @@
 
 func (n *Node) onHelp(ctx context.Context, o directory.Node) (any, error) {
 	life, err := n.probe(ctx, o)
-	if err == nil && life != o.Life {
+	if err == nil && life != o.Incarnation {
 		err = errkind.New(errkind.NotFound, "node %s has another life", o.Name)
 	}
 	return empty{}, err
@@ -149,7 +149,7 @@
 }
 
 func (n *Node) onTake(ctx context.Context, a onPool) (any, error) {
-	return n.Steward.TakeOver(ctx, a.Pool)
+	return n.Ownership.TakeOver(ctx, a.Pool)
 }
 
 // local returns the desk of a pool that this node owns, nil for none.
@@ -238,8 +238,8 @@
 
 // allowAsk asks the owner of a pool for what it tells of its allowances.
 type allowAsk struct {
-	Pool     string         `json:"pool"`
-	Question quota.Question `json:"question"`
+	Pool     string      `json:"pool"`
+	Question quota.Query `json:"question"`
 }
 
 func (n *Node) onAllow(ctx context.Context, a allowAsk) (any, error) {
@@ -251,11 +251,11 @@
 }
 
 // allow asks the owner of a pool for what it tells of its allowances, on this node or another.
-func (n *Node) allow(ctx context.Context, pool string, q quota.Question) (quota.Statement, error) {
+func (n *Node) allow(ctx context.Context, pool string, q quota.Query) (quota.Report, error) {
 	if o := n.owner(pool); o != nil {
 		return o.UpdateAllowances(ctx, q)
 	}
-	var s quota.Statement
+	var s quota.Report
 	err := n.callOwner(ctx, pool, methodAllow, allowAsk{pool, q}, &s)
 	return s, err
 }
--- a/node/script_event_test.go
+++ b/node/script_event_test.go
@@ -215,7 +215,7 @@
 // wave asks for the maintenance of a share of all instances.
 func (st *stage) wave(e scriptEvent) {
 	list, _ := st.world.Instances().List(context.Background())
-	v := wave.Wave{Number: 1, Within: e.Within.Std(), AtOnce: e.AtOnce}
+	v := wave.Wave{Number: 1, TimeLimit: e.Within.Std(), MaxConcurrent: e.AtOnce}
 	for i, o := range list {
 		if float64(i) < e.Share*float64(len(list)) {
 			v.Instances = append(v.Instances, o.Name)
--- a/node/script_test.go
+++ b/node/script_test.go
@@ -204,10 +204,10 @@
 	for _, p := range st.script.Pools {
 		st.pools = append(st.pools, config.Pool{Name: p.Name})
 		q := config.Queue{
-			Name: p.Name, Host: "h", PathPrefix: "/" + p.Name + "/", Pool: p.Name, Attempts: world.Attempts, Stretch: 1.6, Target: 600 * time.Millisecond,
+			Name: p.Name, Host: "h", PathPrefix: "/" + p.Name + "/", Pool: p.Name, MaxAttempts: world.Attempts, Stretch: 1.6, BaseObjective: 600 * time.Millisecond,
 		}
 		if p.Policy {
-			q.Advice = &config.Advice{Decide: 20 * time.Millisecond, Each: time.Millisecond, Valid: ticketTime}
+			q.Advice = &config.Advice{CallTime: 20 * time.Millisecond, TimePerWorker: time.Millisecond, TicketValidity: ticketTime}
 			st.world.Policy(p.Name, ticketTime)
 		}
 		st.queues = append(st.queues, q)
@@ -333,7 +333,7 @@
 		st.open[j.Pool] = make(map[job.ID]string)
 	}
 	st.open[j.Pool][s.ID] = s.Customer
-	if s.Lasts() && !j.crashes() {
+	if s.HasLongRunning() && !j.crashes() {
 		st.lasting = append(st.lasting, job.StepRef{Job: s.ID})
 	}
 	st.mu.Unlock()
@@ -343,7 +343,7 @@
 		return
 	}
 	st.jobs.Go(func() { st.again(ctx, s) })
-	if s.Lasts() && !j.crashes() || st.script.MayStay {
+	if s.HasLongRunning() && !j.crashes() || st.script.MayStay {
 		return
 	}
 	want := job.Completed
@@ -462,9 +462,9 @@
 	s := job.Submission{ID: id, Queue: "h/" + j.Pool + "/", Spec: j.Spec, Customer: j.Customer}
 	for _, o := range j.Steps {
 		spec := job.Step{
-			Count: o.Count, Size: job.Size{CPU: o.CPU, MemoryMB: o.MemoryMB}, Estimate: o.Takes.Std(), After: o.After,
-			Lasting: o.Lasting, MayMiss: o.MayMiss, PerWorker: o.PerWorker, Gang: o.Gang,
-			Target: o.Target.Std(), Filling: o.Filling,
+			Count: o.Count, Size: job.Size{CPU: o.CPU, MemoryMB: o.MemoryMB}, Estimate: o.Takes.Std(), DependsOn: o.After,
+			LongRunning: o.Lasting, MaxUnavailable: o.MayMiss, MaxPerWorker: o.PerWorker, Gang: o.Gang,
+			LatencyObjective: o.Target.Std(), Backfill: o.Filling,
 		}
 		s.Steps = append(s.Steps, spec)
 		if o.Lasting {
--- a/routers/apiv1/config.go
+++ b/routers/apiv1/config.go
@@ -34,7 +34,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), offsetWait)
 	defer cancel()
-	return t.Entry.Ledger.WaitFor(ctx, state.Mark{Offset: offset})
+	return t.Entry.Ledger.WaitFor(ctx, state.Position{Offset: offset})
 }
 
 // Objects is the answer of GET /objects.
@@ -46,7 +46,7 @@
 func (t *Router) objects(o operator, _ *http.Request) (any, error) {
 	c := t.Entry.Ledger.State().Catalog
 	answer := Objects{Version: c.Version, Objects: []manifest.Object{}}
-	for _, object := range c.Live() {
+	for _, object := range c.Active() {
 		if o.sees(object.Owner()) {
 			answer.Objects = append(answer.Objects, object)
 		}
--- a/routers/apiv1/status.go
+++ b/routers/apiv1/status.go
@@ -45,7 +45,7 @@
 		Ready:   "yes",
 		Offset:  s.Offset,
 		Version: s.Catalog.Version,
-		Roster:  s.Roster(),
+		Roster:  s.MemberNames(),
 		Roles:   make(map[string]string),
 		Pools:   []PoolStatus{},
 		Aside:   e.Watch.Aside(),
@@ -63,7 +63,7 @@
 		h := s.Headroom(p)
 		answer.Pools = append(answer.Pools, PoolStatus{
 			Pool: p.Name, Size: p.Size, Present: len(s.PoolInstances(p.Name)),
-			Serving: h.Serving, Available: p.Available, Spare: h.Spare(),
+			Serving: h.Serving, Available: p.MinAvailable, Spare: h.Spare(),
 		})
 	}
 	plan := pools.Make(s, e.Setting.Entry.Name, e.Ledger.Incarnation, e.Clock.Now())
@@ -93,8 +93,8 @@
 			continue
 		}
 		rows = append(rows, InstanceStatus{
-			Worker: id, Address: i.Worker.Address, Hall: i.Worker.Hall, Rack: i.Worker.Rack,
-			Condition: string(i.Worker.Condition), Pool: i.Pool, Phase: string(i.Phase), To: i.To,
+			Worker: id, Address: i.Worker.Address, Hall: i.Worker.DataCenter, Rack: i.Worker.Rack,
+			Condition: string(i.Worker.Condition), Pool: i.Pool, Phase: string(i.Phase), To: i.MoveTo,
 			Owner: i.Owner, MaintainedAt: i.MaintainedAt,
 		})
 	}
--- a/services/directory/directory.go
+++ b/services/directory/directory.go
@@ -28,12 +28,12 @@
 
 // Node is one process of yardbridge.
 type Node struct {
-	Name       string  `cbor:"1,keyasint"`
-	Address    string  `cbor:"2,keyasint"` // for other nodes
-	Life       uint64  `cbor:"3,keyasint"` // of the process; a later one of the name has a higher one
-	Cores      float64 `cbor:"4,keyasint"`
-	DataCenter string  `cbor:"5,keyasint"`
-	LinkMbps   float64 `cbor:"6,keyasint,omitempty"` // of its link, 0 for not stated
+	Name        string  `cbor:"1,keyasint"`
+	Address     string  `cbor:"2,keyasint"` // for other nodes
+	Incarnation uint64  `cbor:"3,keyasint"` // of the process; a later one of the name has a higher one
+	Cores       float64 `cbor:"4,keyasint"`
+	DataCenter  string  `cbor:"5,keyasint"`
+	LinkMbps    float64 `cbor:"6,keyasint,omitempty"` // of its link, 0 for not stated
 }
 
 // coresPerMbit says how much of a core's work comes with a megabit a second: a run
@@ -56,11 +56,11 @@
 // Ownership says which node owns a pool, and in which slot the pool's partition
 // lies.
 type Ownership struct {
-	Pool  string `cbor:"1,keyasint"`
-	Slot  int    `cbor:"2,keyasint"`
-	Epoch uint64 `cbor:"3,keyasint"`
-	Node  string `cbor:"4,keyasint"` // "" for none yet
-	Life  uint64 `cbor:"5,keyasint"` // of the node's process
+	Pool        string `cbor:"1,keyasint"`
+	Slot        int    `cbor:"2,keyasint"`
+	Epoch       uint64 `cbor:"3,keyasint"`
+	Node        string `cbor:"4,keyasint"` // "" for none yet
+	Incarnation uint64 `cbor:"5,keyasint"` // of the node's process
 }
 
 // View is the directory at one time; it never changes.
@@ -75,7 +75,7 @@
 func (v *View) Owner(pool string) (Node, Ownership, bool) {
 	o, known := v.Pools[pool]
 	n, present := v.Nodes[o.Node]
-	return n, o, known && present && n.Life == o.Life
+	return n, o, known && present && n.Incarnation == o.Incarnation
 }
 
 // Directory is one node's view of the directory, and its entry there; its fields
@@ -126,9 +126,9 @@
 // Age returns how long ago the directory was read in the store.
 func (d *Directory) Age() time.Duration { return d.follower.Age() }
 
-// Adopt takes over what another node knows of the directory: of the nodes where that has
+// Merge takes over what another node knows of the directory: of the nodes where that has
 // read more of it, and of owners what is newer.
-func (d *Directory) Adopt(v *View) {
+func (d *Directory) Merge(v *View) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.view == nil || v.End <= d.view.End && !d.view.outdatedBy(v) {
@@ -210,13 +210,13 @@
 	}
 	for name, n := range next.Nodes {
 		if last.Nodes[name] != n {
-			d.Logger.Info().Str("event", "directory").Str("node", name).Str("address", n.Address).Uint64("life", n.Life).
+			d.Logger.Info().Str("event", "directory").Str("node", name).Str("address", n.Address).Uint64("life", n.Incarnation).
 				Uint64("end", next.End).Str("outcome", "present").Msg("a node is known")
 		}
 	}
 	for name, n := range last.Nodes {
 		if _, there := next.Nodes[name]; !there {
-			d.Logger.Info().Str("event", "directory").Str("node", name).Uint64("life", n.Life).
+			d.Logger.Info().Str("event", "directory").Str("node", name).Uint64("life", n.Incarnation).
 				Uint64("end", next.End).Str("outcome", "absent").Msg("a node is known no longer")
 		}
 	}
@@ -239,7 +239,7 @@
 		if err := codec.Unmarshal(r.Value, &n); err != nil {
 			return err
 		}
-		if n.Life >= v.Nodes[name].Life {
+		if n.Incarnation >= v.Nodes[name].Incarnation {
 			v.Nodes[name] = n
 		}
 		return nil
@@ -266,8 +266,8 @@
 	return true
 }
 
-// Learn takes an ownership that was heard of elsewhere.
-func (d *Directory) Learn(o Ownership) {
+// Observe takes an ownership that was heard of elsewhere.
+func (d *Directory) Observe(o Ownership) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.view == nil {
@@ -290,7 +290,7 @@
 func (d *Directory) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		v, changed := d.View()
-		if v != nil && !d.isLeaving() && v.Nodes[d.Self.Name].Life < d.Self.Life {
+		if v != nil && !d.isLeaving() && v.Nodes[d.Self.Name].Incarnation < d.Self.Incarnation {
 			if err := d.enter(ctx); err != nil {
 				d.Logger.Warn().Str("event", "directory").Err(err).Msg("this node could not be entered")
 				changed = nil
@@ -340,7 +340,7 @@
 
 // Publish tells all nodes of an ownership.
 func (d *Directory) Publish(ctx context.Context, o Ownership) error {
-	d.Learn(o)
+	d.Observe(o)
 	value, err := codec.Marshal(o)
 	if err != nil {
 		return err
@@ -348,10 +348,10 @@
 	return d.Store.Put(ctx, Partition, []port.Record{{Key: keyPool + o.Pool, Value: value}})
 }
 
-// Slot returns the slot of a pool's partition, and gives the lowest free ones to
+// AssignSlot returns the slot of a pool's partition, and gives the lowest free ones to
 // all of the named pools that have none. A slot is never given twice: it is given
 // under the condition that nothing has come since the view was read.
-func (d *Directory) Slot(ctx context.Context, pool string, all []string) (int, error) {
+func (d *Directory) AssignSlot(ctx context.Context, pool string, all []string) (int, error) {
 	v, _ := d.View()
 	if v == nil {
 		return 0, errkind.New(errkind.LogUnavailable, "the directory has not been read")
--- a/services/dispatch/admit.go
+++ b/services/dispatch/admit.go
@@ -18,7 +18,7 @@
 		return known
 	}
 	var list []config.Customer
-	for _, o := range c.Live() {
+	for _, o := range c.Active() {
 		if o.Customer != nil {
 			list = append(list, config.Customer{Name: o.Customer.Name, Keys: d.sums(o.Customer)})
 		}
@@ -51,7 +51,7 @@
 	if !bears {
 		return errkind.New(errkind.Unauthorized, "service %q takes requests with a customer's key only; the Authorization header must be: Bearer KEY", c.service.Name)
 	}
-	if c.d.customers(catalog).Holder(secret) != nil {
+	if c.d.customers(catalog).CustomerByKey(secret) != nil {
 		c.r.Header.Del("Authorization") // the key is between the caller and the entry
 		return nil
 	}
--- a/services/dispatch/attempt.go
+++ b/services/dispatch/attempt.go
@@ -82,13 +82,13 @@
 	if a == nil || c.body == nil || !c.d.Clock.Now().Before(c.deadline) {
 		return false
 	}
-	return errkind.Is(err, errkind.NoTarget) || c.service.MayRepeat(c.r.Method)
+	return errkind.Is(err, errkind.NoTarget) || c.service.IsRepeatable(c.r.Method)
 }
 
 // transport returns connections that the library may send a request on twice
 // only where the service allows that.
 func (c *call) transport() *http.Transport {
-	if c.service.MayRepeat(c.r.Method) || c.r.Method == http.MethodPost && c.key == "" {
+	if c.service.IsRepeatable(c.r.Method) || c.r.Method == http.MethodPost && c.key == "" {
 		// The library sends a POST again only if no byte of it was written.
 		return c.d.shared
 	}
@@ -139,7 +139,7 @@
 			Pool:     c.service.Pool,
 			Class:    c.class,
 			Deadline: latest,
-			Limit:    c.service.Queue,
+			Limit:    c.service.QueueLength,
 			Typical:  c.d.usual.of(c.service.Pool),
 			Avoid:    c.failedOn,
 		})
--- a/services/dispatch/faults_test.go
+++ b/services/dispatch/faults_test.go
@@ -99,11 +99,11 @@
 func (b *bench) declare(addresses []string) {
 	b.put(record.Record{Join: &record.Join{}})
 	for i, address := range addresses {
-		b.put(record.Record{Sighting: &record.Sighting{Revision: uint64(i + 1), Workers: []fleet.Worker{{
+		b.put(record.Record{ListUpdate: &record.ListUpdate{Revision: uint64(i + 1), Workers: []fleet.Worker{{
 			ID: fmt.Sprintf("w%d", i), Address: address, Slots: 2, Condition: fleet.Live,
 		}}}})
 	}
-	service := manifest.Service{Name: "svc", Team: "t", Pool: "p", Class: manifest.Interactive, Queue: 10, Repeatable: []string{http.MethodGet}}
+	service := manifest.Service{Name: "svc", Team: "t", Pool: "p", Class: manifest.Interactive, QueueLength: 10, Repeatable: []string{http.MethodGet}}
 	service.Deadline = tomlfile.Duration(5 * time.Second)
 	b.put(record.Record{Apply: &record.Apply{Deployment: "d", Put: []manifest.Object{
 		{Team: &manifest.Team{Name: "t"}}, {Pool: &manifest.Pool{Name: "p", Team: "t", Size: 2}}, {Service: &service},
--- a/services/fleet/lend.go
+++ b/services/fleet/lend.go
@@ -104,7 +104,7 @@
 type question struct {
 	m    *Manager
 	pool string
-	ask  quota.Question
+	ask  quota.Query
 }
 
 // run asks the pool's owner.
--- a/services/fleet/manager.go
+++ b/services/fleet/manager.go
@@ -42,7 +42,7 @@
 	// ReportWave tells the operators that a wave runs or is done.
 	ReportWave func(ctx context.Context, wave int, done bool) error
 	// UpdateAllowances asks a pool's owner for what it tells of its allowances, and may give it others.
-	UpdateAllowances func(ctx context.Context, pool string, q quota.Question) (quota.Statement, error)
+	UpdateAllowances func(ctx context.Context, pool string, q quota.Query) (quota.Report, error)
 	// RequestReport asks a pool's owner for its report, and for cordons.
 	RequestReport func(ctx context.Context, pool string, asked scheduler.CordonRequest) (scheduler.Report, error)
 
@@ -192,7 +192,7 @@
 		if err := m.step(ctx); err != nil {
 			return err
 		}
-		if m.Clock.Now().Sub(m.Journal.Answered()) > confirmAfter {
+		if m.Clock.Now().Sub(m.Journal.LastResponse()) > confirmAfter {
 			if err := m.Journal.Append(ctx, nil); err != nil {
 				return err
 			}
@@ -296,8 +296,8 @@
 			return err
 		}
 		m.view.waves = append(m.view.waves, &waveState{Wave: o, seen: now, done: make(map[string]bool)})
-		m.Logger.Info().Str("event", "wave").Int("wave", o.Number).Int("instances", len(o.Instances)).Int("at_once", o.AtOnce).
-			Dur("within", o.Within).Str("outcome", "begun").Msg("a wave of maintenance has come")
+		m.Logger.Info().Str("event", "wave").Int("wave", o.Number).Int("instances", len(o.Instances)).Int("at_once", o.MaxConcurrent).
+			Dur("within", o.TimeLimit).Str("outcome", "begun").Msg("a wave of maintenance has come")
 		m.tell(ctx, o.Number, false)
 	}
 	return nil
@@ -396,7 +396,7 @@
 		switch {
 		case a.from != pool || a.worker == "":
 		case a.stage == settling && m.ended(a):
-			asked.Ended = append(asked.Ended, worker.Life{ID: a.worker, Born: a.born})
+			asked.Ended = append(asked.Ended, worker.Incarnation{ID: a.worker, StartedAt: a.born})
 		default:
 			asked.Workers = append(asked.Workers, scheduler.CordonedWorker{ID: a.worker, MaintenanceRequired: a.to == ""})
 		}
--- a/services/fleet/order.go
+++ b/services/fleet/order.go
@@ -77,7 +77,7 @@
 func (m *Manager) act(ctx context.Context) error {
 	var due []*action
 	var records []port.Record
-	ahead := intentTimes * m.Journal.Took()
+	ahead := intentTimes * m.Journal.LastDuration()
 	for _, name := range slices.Sorted(maps.Keys(m.view.actions)) {
 		a := m.view.actions[name]
 		if a.stage == settling || !m.granted(a) || m.wait(name) > 0 {
--- a/services/fleet/plan_test.go
+++ b/services/fleet/plan_test.go
@@ -39,7 +39,7 @@
 	for p := range fleetPools {
 		v.pools[fmt.Sprint("p", p)] = &poolState{}
 	}
-	w := wave.Wave{Number: 1, Within: 26 * time.Second, AtOnce: 103}
+	w := wave.Wave{Number: 1, TimeLimit: 26 * time.Second, MaxConcurrent: 103}
 	for n := range fleetInstances {
 		i := port.Instance{Name: fmt.Sprintf("m-%03d", n), Pool: "off", Condition: port.Up, Labels: []string{"kind-a", fmt.Sprint("r-", n%fleetRacks)}, Capacity: fleetSize}
 		if p := n % 27; p < fleetPools || spread && r.IntN(2) == 0 {
@@ -104,12 +104,12 @@
 	assert.Assert(t, moved > 400, "%d instances move", moved)
 	assert.Equal(t, maintained, 0)
 	v = fleetView(rand.New(rand.NewPCG(1, 1)), false, 500)
-	v.waves[0].seen = v.now.Add(-v.waves[0].Within / 2)
+	v.waves[0].seen = v.now.Add(-v.waves[0].TimeLimit / 2)
 	maintained = 0
 	for _, a := range v.plan() {
 		maintained += btoi(a.to == "")
 	}
-	assert.Equal(t, maintained, v.waves[0].AtOnce)
+	assert.Equal(t, maintained, v.waves[0].MaxConcurrent)
 }
 
 // TestANewHolderHoldsWhatPoolsHave: in a rush the holder of the duty and the rushing pool's owner
--- a/services/fleet/wave.go
+++ b/services/fleet/wave.go
@@ -96,10 +96,10 @@
 
 // slots returns how many more instances of a wave may be emptied or down.
 func (v *view) slots(w *waveState) int {
-	if w.AtOnce <= 0 {
+	if w.MaxConcurrent <= 0 {
 		return len(w.Instances)
 	}
-	slots := w.AtOnce
+	slots := w.MaxConcurrent
 	for _, name := range w.Instances {
 		a := v.actions[name]
 		if a != nil && a.to == "" || v.instances[name].Condition == port.Maintenance {
@@ -128,14 +128,14 @@
 		}
 	}
 	takes := w.rounds(off)*(v.repair+offTime) + w.rounds(len(left)-off)*(v.repair+emptyTime) + waveSlack
-	return v.now.Sub(w.seen)+takes > w.Within
+	return v.now.Sub(w.seen)+takes > w.TimeLimit
 }
 
 // rounds returns how many times as many instances as may be maintained at once are
 // needed for a number of them.
 func (w *waveState) rounds(n int) time.Duration {
-	if w.AtOnce <= 0 {
+	if w.MaxConcurrent <= 0 {
 		return time.Duration(btoi(n > 0))
 	}
-	return time.Duration((n + w.AtOnce - 1) / w.AtOnce)
+	return time.Duration((n + w.MaxConcurrent - 1) / w.MaxConcurrent)
 }
--- a/services/fleetwatch/watch.go
+++ b/services/fleetwatch/watch.go
@@ -52,7 +52,7 @@
 // there are, so that the platform sees the same load, and at random times, so
 // that they do not all read at once and then none for long.
 func (w *Watcher) pause() time.Duration {
-	mean := ListPeriod * time.Duration(max(len(w.State().Roster()), 1))
+	mean := ListPeriod * time.Duration(max(len(w.State().MemberNames()), 1))
 	return time.Duration((0.5 + rand.Float64()) * float64(mean))
 }
 
@@ -70,7 +70,7 @@
 	}
 	sighting, gone := Diff(s, l)
 	w.tell(sighting.Workers)
-	records := []record.Record{{Sighting: &sighting}}
+	records := []record.Record{{ListUpdate: &sighting}}
 	for i := range gone {
 		records = append(records, record.Record{Gone: &gone[i]})
 	}
@@ -101,12 +101,12 @@
 
 // Diff returns what a list shows that the state does not, and the entries
 // that it no longer shows.
-func Diff(s state.State, l platform.Listing) (record.Sighting, []record.Gone) {
-	g := record.Sighting{Revision: l.Revision}
+func Diff(s state.State, l platform.Listing) (record.ListUpdate, []record.Gone) {
+	g := record.ListUpdate{Revision: l.Revision}
 	listed := make(map[string]bool, len(l.Workers))
 	for _, w := range l.Workers {
 		listed[w.ID] = true
-		if i, ok := s.Instances.Get(w.ID); !ok || !i.Worker.Same(w) {
+		if i, ok := s.Instances.Get(w.ID); !ok || !i.Worker.Equal(w) {
 			g.Workers = append(g.Workers, w)
 		}
 	}
--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -28,8 +28,8 @@
 	// Gap returns the pause between readings; records that come in it are read
 	// together. Nil stands for none.
 	Gap func() time.Duration
-	// Hurry ends a pause early; nil never does.
-	Hurry <-chan struct{}
+	// Wake ends a pause early; nil never does.
+	Wake <-chan struct{}
 	// Idle reports whether nobody needs the partition now: then nothing is read until
 	// a hurry, and all of it after that. Nil stands for never.
 	Idle func() bool
@@ -72,7 +72,7 @@
 // rest waits for a hurry.
 func (f *Follower) rest(ctx context.Context) {
 	select {
-	case <-f.Hurry:
+	case <-f.Wake:
 	case <-ctx.Done():
 	}
 }
@@ -151,7 +151,7 @@
 	}
 	select {
 	case <-f.Clock.After(f.Gap()):
-	case <-f.Hurry:
+	case <-f.Wake:
 	case <-ctx.Done():
 	}
 }
--- a/services/follow/follow_test.go
+++ b/services/follow/follow_test.go
@@ -37,7 +37,7 @@
 					return port.Tail{End: 1}, nil
 				},
 			},
-			Logger: log.Nop(), Gap: func() time.Duration { return 250 * time.Millisecond }, Hurry: hurry, Idle: idle.Load,
+			Logger: log.Nop(), Gap: func() time.Duration { return 250 * time.Millisecond }, Wake: hurry, Idle: idle.Load,
 			Apply: func(_ []port.Record, whole bool) { applied <- whole },
 		}
 		ctx, cancel := context.WithCancel(t.Context())
--- a/services/gateway/admit.go
+++ b/services/gateway/admit.go
@@ -14,12 +14,12 @@
 func (g *Gateway) Admit(c *config.Config, q *config.Queue, secret string, bears bool) (string, error) {
 	var holder *config.Customer
 	if bears {
-		holder = c.Holder(secret)
+		holder = c.CustomerByKey(secret)
 	}
 	switch {
 	case holder != nil:
 		return holder.Name, nil
-	case q.Anyone:
+	case q.AllowAnonymous:
 		return "", nil
 	case !bears:
 		return "", errkind.New(errkind.Unauthorized, "queue %s takes calls with a customer's key only; the Authorization header must be: Bearer KEY", q.Name)
--- a/services/gateway/gateway_test.go
+++ b/services/gateway/gateway_test.go
@@ -106,11 +106,11 @@
 		return data
 	}
 	records := []port.Record{
-		{Key: "n/other", Value: encode(directory.Node{Name: "other", Life: 1})},
-		{Key: "n/self", Value: encode(directory.Node{Name: "self", Life: 1}), Offset: 1},
-		{Key: "o/" + pool, Value: encode(directory.Ownership{Pool: pool, Epoch: 1, Node: "other", Life: 1}), Offset: 2},
+		{Key: "n/other", Value: encode(directory.Node{Name: "other", Incarnation: 1})},
+		{Key: "n/self", Value: encode(directory.Node{Name: "self", Incarnation: 1}), Offset: 1},
+		{Key: "o/" + pool, Value: encode(directory.Ownership{Pool: pool, Epoch: 1, Node: "other", Incarnation: 1}), Offset: 2},
 	}
-	d := &directory.Directory{Self: directory.Node{Name: "self", Life: 1}, Store: port.Store{
+	d := &directory.Directory{Self: directory.Node{Name: "self", Incarnation: 1}, Store: port.Store{
 		Newest: func(context.Context, port.Partition, string) (port.Page, error) {
 			return port.Page{Records: records, End: uint64(len(records))}, nil
 		},
--- a/services/jobs/decider.go
+++ b/services/jobs/decider.go
@@ -74,7 +74,7 @@
 		d.renew(ctx, s)
 		d.forgetStarted(s)
 	}
-	if !s.Holds(record.RoleJobs, d.Name, d.Incarnation) {
+	if !s.HoldsRole(record.RoleJobs, d.Name, d.Incarnation) {
 		return
 	}
 	if now.Sub(d.followed) >= period {
--- a/services/jobs/decider_test.go
+++ b/services/jobs/decider_test.go
@@ -44,20 +44,20 @@
 	for _, n := range names {
 		y.deciders[n] = &Decider{
 			Clock: y.clock.Clock(), Logger: log.Nop(), Name: n, Incarnation: 1, Tasks: y.platform.Tasks(),
-			Alive: func() []string { return y.State().Roster() },
+			Alive: func() []string { return y.State().MemberNames() },
 			Propose: func(_ context.Context, records []record.Record) ([]state.Verdict, error) {
 				return y.put(n, records...), nil
 			},
 		}
 		y.put(n, record.Record{Join: &record.Join{}})
 	}
-	g := &record.Sighting{Revision: 1, Entries: names}
+	g := &record.ListUpdate{Revision: 1, Entries: names}
 	for i := range workers {
 		w := fleet.Worker{ID: fmt.Sprintf("w%d", i), Rack: fmt.Sprint(i), Cores: 8, MemoryGB: 16, Condition: fleet.Live}
 		y.platform.SetWorker(w)
 		g.Workers = append(g.Workers, w)
 	}
-	y.put(names[0], record.Record{Sighting: g})
+	y.put(names[0], record.Record{ListUpdate: g})
 	y.put(names[0], record.Record{Apply: &record.Apply{Deployment: "d", Put: []manifest.Object{
 		{Team: &manifest.Team{Name: "t", QuotaCores: 100, QuotaMemoryGB: 100}},
 		{Pool: &manifest.Pool{Name: "p", Team: "t", Size: workers}},
@@ -92,7 +92,7 @@
 
 // lead gives a decider the role.
 func (y *yard) lead(name string) {
-	y.put(name, record.Record{Lease: &record.Lease{Role: record.RoleJobs, Life: time.Minute}})
+	y.put(name, record.Record{Lease: &record.Lease{Role: record.RoleJobs, TTL: time.Minute}})
 }
 
 // submit puts a run of a job on the log and returns its ID.
@@ -151,7 +151,7 @@
 	y.clock.Advance(2 * time.Minute)
 	y.lead("b")
 	y.pass(10*time.Second, "b")
-	assert.Equal(t, y.run(id).State, record.Unclear)
+	assert.Equal(t, y.run(id).State, record.Unknown)
 	assert.Equal(t, y.platform.Starts(id), 0)
 	assert.Equal(t, y.run(repeatable).State, record.Done)
 }
@@ -185,10 +185,10 @@
 		y.lead("a")
 		y.pass(3*time.Second, "a")
 	}
-	assert.Equal(t, y.run(once).State, record.Unclear)
+	assert.Equal(t, y.run(once).State, record.Unknown)
 	assert.Equal(t, y.platform.Starts(once), 0)
 	assert.Equal(t, y.run(repeatable).State, record.Done)
-	assert.Equal(t, y.State().UseOf("w0").Runs, 0)
+	assert.Equal(t, y.State().WorkerUsage("w0").Runs, 0)
 }
 
 func TestLeaseThatLapsesWhileItsHolderIsPaused(t *testing.T) {
@@ -200,7 +200,7 @@
 	y.clock.Advance(time.Hour) // nobody renews
 	y.lead("a")
 	y.pass(3*time.Second, "a")
-	assert.Equal(t, y.run(id).State, record.Unclear)
+	assert.Equal(t, y.run(id).State, record.Unknown)
 	assert.Equal(t, y.platform.Starts(id), 1)
 }
 
@@ -219,7 +219,7 @@
 		assert.Equal(t, y.run(id).State, record.Done, y.run(id).Reason)
 	}
 	i, _ := y.State().Instances.Get("w0")
-	assert.Assert(t, i.AsideUntil.After(begin))
+	assert.Assert(t, i.EjectedUntil.After(begin))
 }
 
 func TestJobThatFitsNowhereBlocksNobody(t *testing.T) {
@@ -261,7 +261,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, y.State().Offset, before+1, "a wave takes one append")
 	y.pass(6*time.Second, "a")
-	assert.Equal(t, y.State().UseOf("w0").Runs, 0)
+	assert.Equal(t, y.State().WorkerUsage("w0").Runs, 0)
 	reports, err := y.platform.Tasks().Reports(context.Background(), 0)
 	assert.NilError(t, err)
 	for _, task := range reports.Tasks {
@@ -281,7 +281,7 @@
 	y.submit("a", manifest.Job{Cores: 2, MemoryGB: 1, Command: "forever"})
 	y.submit("a", manifest.Job{Cores: 2, MemoryGB: 1, Command: "forever"})
 	y.pass(6*time.Second, "a")
-	assert.Equal(t, y.State().UseOf("w0").Runs, 1, "two of its true size do not fit")
+	assert.Equal(t, y.State().WorkerUsage("w0").Runs, 1, "two of its true size do not fit")
 }
 
 // TestThrottledTaskIsLearnedByWhatItWants: a greedy task is throttled to the size
@@ -330,7 +330,7 @@
 		y.lead("a")
 		y.pass(3*time.Second, "a")
 	}
-	assert.Equal(t, y.run(id).State, record.Unclear)
+	assert.Equal(t, y.run(id).State, record.Unknown)
 	assert.Equal(t, y.platform.Starts(id), 1)
 }
 
@@ -348,8 +348,8 @@
 	}
 	y.clock.Advance(9 * time.Hour)
 	i, _ := y.State().Instances.Get(other)
-	i.Worker.Boot++ // just maintained
-	y.put("a", record.Record{Sighting: &record.Sighting{Revision: y.State().ListRevision + 1, Workers: []fleet.Worker{i.Worker}}})
+	i.Worker.BootCount++ // just maintained
+	y.put("a", record.Record{ListUpdate: &record.ListUpdate{Revision: y.State().ListRevision + 1, Workers: []fleet.Worker{i.Worker}}})
 	second := oncekey.New(y.clock.Now().Add(time.Hour))
 	y.put("a", record.Record{Submit: &record.Submit{ID: second, Job: manifest.Job{Name: "job", Team: "t", Pool: "p", Cores: 2, MemoryGB: 2}}})
 	y.put("a", Place(y.State(), "a", 1).Records...)
--- a/services/jobs/declared.go
+++ b/services/jobs/declared.go
@@ -14,7 +14,7 @@
 // submissions returns the runs of declared jobs that are due and not known.
 func submissions(s state.State, now time.Time) []record.Record {
 	var due []record.Record
-	for _, o := range s.Catalog.Live() {
+	for _, o := range s.Catalog.Active() {
 		if o.Job == nil {
 			continue
 		}
--- a/services/jobs/follow.go
+++ b/services/jobs/follow.go
@@ -133,7 +133,7 @@
 	f.failures[t.Worker]++
 	if f.failures[t.Worker] >= asideFailures {
 		f.failures[t.Worker] = asideFailures - 1 // one more failure, and it is aside again
-		f.records = append(f.records, record.Record{SetAside: &record.SetAside{
+		f.records = append(f.records, record.Record{Eject: &record.Eject{
 			Worker: t.Worker, Until: f.s.Now.Add(asideLife),
 		}})
 	}
--- a/services/jobs/place.go
+++ b/services/jobs/place.go
@@ -56,7 +56,7 @@
 }
 
 // fits reports whether a worker has room beside what it runs.
-func (n need) fits(i state.Instance, use state.Use) bool {
+func (n need) fits(i state.Instance, use state.Usage) bool {
 	return use.Fits(i, n.cores, n.memoryGB, n.accelerators)
 }
 
@@ -91,7 +91,7 @@
 func (p *planner) coresOf(job manifest.Job) int {
 	used, asked := p.cores[job.Name]
 	if !asked {
-		used = p.s.LargestUse(job.Name)
+		used = p.s.MaxUsedCores(job.Name)
 		p.cores[job.Name] = used
 	}
 	if used > 0 {
@@ -118,14 +118,14 @@
 	used := make(map[string]float64) // by customer, over its share
 	for _, w := range list {
 		name := w.run.Job.Customer
-		used[name] = float64(s.CustomerUse(name).Cores) / shareOf(s.Catalog.Customer(name))
+		used[name] = float64(s.CustomerUsage(name).Cores) / shareOf(s.Catalog.Customer(name))
 	}
 	slices.SortStableFunc(list, func(a, b pending) int {
 		return cmp.Or(
 			cmp.Compare(rank(a.run.Job.Class), rank(b.run.Job.Class)),
 			compareDeadline(a.run.Deadline, b.run.Deadline),
 			cmp.Compare(used[a.run.Job.Customer], used[b.run.Job.Customer]),
-			cmp.Compare(a.run.Submitted, b.run.Submitted),
+			cmp.Compare(a.run.SubmittedOffset, b.run.SubmittedOffset),
 			cmp.Compare(a.id, b.id),
 		)
 	})
@@ -195,7 +195,7 @@
 		r := record.Record{Place: &record.Place{
 			ID: w.id, Attempt: w.run.Attempt + 1, Worker: i.Worker.ID, Cores: room.cores, MemoryGB: room.memoryGB,
 		}}
-		next, verdict := p.s.Try(p.name, p.inc, r)
+		next, verdict := p.s.DryRun(p.name, p.inc, r)
 		if verdict == nil {
 			p.s = next
 			p.plan.Records = append(p.plan.Records, r)
@@ -215,9 +215,9 @@
 		return NoSuchPool, false
 	case !p.everFits(job, workers):
 		return NeverFits, false
-	case !p.s.TeamUse(job.Team).Within(team, p.coresOf(job), job.MemoryGB, job.Accelerators):
+	case !p.s.TeamUsage(job.Team).WithinQuota(team, p.coresOf(job), job.MemoryGB, job.Accelerators):
 		return OverQuota, false
-	case !p.s.CustomerUse(job.Customer).WithinLimit(p.s.Catalog.Customer(job.Customer), p.coresOf(job), job.MemoryGB, job.Accelerators):
+	case !p.s.CustomerUsage(job.Customer).WithinLimit(p.s.Catalog.Customer(job.Customer), p.coresOf(job), job.MemoryGB, job.Accelerators):
 		return OverLimit, false
 	}
 	return "", true
@@ -237,7 +237,7 @@
 
 func (p *planner) everFits(job manifest.Job, workers []state.Instance) bool {
 	return slices.ContainsFunc(workers, func(i state.Instance) bool {
-		return state.Use{}.Fits(i, 1, job.MemoryGB, job.Accelerators) && job.Cores <= i.Worker.Cores
+		return state.Usage{}.Fits(i, 1, job.MemoryGB, job.Accelerators) && job.Cores <= i.Worker.Cores
 	})
 }
 
@@ -251,8 +251,8 @@
 	}
 	var rooms []room
 	for _, i := range workers {
-		use := p.s.UseOf(i.Worker.ID)
-		if i.AsideUntil.After(p.s.Now) || !n.fits(i, use) {
+		use := p.s.WorkerUsage(i.Worker.ID)
+		if i.EjectedUntil.After(p.s.Now) || !n.fits(i, use) {
 			continue
 		}
 		rooms = append(rooms, room{i, p.due(i), i.Worker.Cores - use.Cores})
@@ -269,7 +269,7 @@
 
 // due returns 1 for a worker that is due for maintenance, and 0 for others.
 func (p *planner) due(i state.Instance) int {
-	if p.maintenance != nil && p.s.Now.Sub(i.MaintainedAt) >= p.maintenance.PeriodShare(manifest.DueShare) {
+	if p.maintenance != nil && p.s.Now.Sub(i.MaintainedAt) >= p.maintenance.PeriodFraction(manifest.DueFraction) {
 		return 1
 	}
 	return 0
--- a/services/jobs/placer.go
+++ b/services/jobs/placer.go
@@ -98,8 +98,8 @@
 		}
 	}
 	for _, i := range s.PoolInstances(pool) {
-		if i.AsideUntil.After(s.Now) {
-			seen.lookAgain(i.AsideUntil)
+		if i.EjectedUntil.After(s.Now) {
+			seen.lookAgain(i.EjectedUntil)
 		}
 	}
 	return seen
--- a/services/jobs/placer_test.go
+++ b/services/jobs/placer_test.go
@@ -71,14 +71,14 @@
 			break
 		}
 	case 3:
-		y.put("a", record.Record{SetAside: &record.SetAside{Worker: worker, Until: y.clock.Now().Add(5 * time.Second)}})
+		y.put("a", record.Record{Eject: &record.Eject{Worker: worker, Until: y.clock.Now().Add(5 * time.Second)}})
 	case 4:
 		y.clock.Advance(4 * time.Second)
 		y.put("a", record.Record{})
 	case 5:
 		i, _ := y.State().Instances.Get(worker)
 		w := i.Worker.WithCondition(rapid.SampledFrom([]fleet.Condition{fleet.Live, fleet.Gone}).Draw(t, "condition"))
-		y.put("a", record.Record{Sighting: &record.Sighting{Revision: y.State().ListRevision + 1, Workers: []fleet.Worker{w}}})
+		y.put("a", record.Record{ListUpdate: &record.ListUpdate{Revision: y.State().ListRevision + 1, Workers: []fleet.Worker{w}}})
 	case 6:
 		y.move(worker, pool)
 	case 7:
--- a/services/jobs/preempt.go
+++ b/services/jobs/preempt.go
@@ -16,7 +16,7 @@
 func (p *planner) preempt(workers []state.Instance, n need) bool {
 	var best []string
 	for _, i := range workers {
-		if i.AsideUntil.After(p.s.Now) {
+		if i.EjectedUntil.After(p.s.Now) {
 			continue
 		}
 		if ids := p.victims(i, n); ids != nil && (best == nil || len(ids) < len(best)) {
@@ -28,7 +28,7 @@
 }
 
 func (p *planner) victims(i state.Instance, n need) []string {
-	use := p.s.UseOf(i.Worker.ID)
+	use := p.s.WorkerUsage(i.Worker.ID)
 	var ids []string
 	for id, r := range p.s.RunsOn(i.Worker.ID) {
 		if n.fits(i, use) {
--- a/services/journal/journal.go
+++ b/services/journal/journal.go
@@ -19,14 +19,14 @@
 // records are kept in a spare one (spare.go).
 type Journal struct {
 	Partition port.Partition
-	// Spare is another partition of the same writer, the zero value for none.
-	Spare port.Partition
-	// SparePeriod is how often the spare partition is asked whether it answers, 0 for as often
+	// Standby is another partition of the same writer, the zero value for none.
+	Standby port.Partition
+	// StandbyProbePeriod is how often the spare partition is asked whether it answers, 0 for as often
 	// as is of use.
-	SparePeriod time.Duration
-	Store       port.Store
-	Clock       clock.Clock
-	Logger      log.Logger
+	StandbyProbePeriod time.Duration
+	Store              port.Store
+	Clock              clock.Clock
+	Logger             log.Logger
 	// Count adds one to a counter, nil for none.
 	Count func(counter string)
 
@@ -60,7 +60,7 @@
 		return errNoAnswer
 	}
 	defer func() { <-j.calls }()
-	if !j.Confirmed().Before(asked) {
+	if !j.LastConfirmed().Before(asked) {
 		return nil
 	}
 	defer j.begin()()
@@ -113,8 +113,8 @@
 	return func() { note(time.Time{}) }
 }
 
-// Stuck returns for how long an append has been under way, 0 for none.
-func (j *Journal) Stuck() time.Duration {
+// PendingFor returns for how long an append has been under way, 0 for none.
+func (j *Journal) PendingFor() time.Duration {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.stuck.IsZero() {
@@ -127,24 +127,26 @@
 // store counts as away: one that has become slow is not taken for one that is gone.
 const slowTimes = 3
 
-// StuckFor reports whether an append has been under way for longer than a time, or
+// IsStuck reports whether an append has been under way for longer than a time, or
 // where the store is slow, for much longer than the one before it took.
-func (j *Journal) StuckFor(least time.Duration) bool { return j.Stuck() > j.patience(least) }
+func (j *Journal) IsStuck(least time.Duration) bool { return j.PendingFor() > j.patience(least) }
 
 // patience returns how long an append may take: so long at least, and longer where the store
 // is slow.
-func (j *Journal) patience(least time.Duration) time.Duration { return max(least, slowTimes*j.Took()) }
+func (j *Journal) patience(least time.Duration) time.Duration {
+	return max(least, slowTimes*j.LastDuration())
+}
 
-// Took returns how long the last append took that succeeded.
-func (j *Journal) Took() time.Duration {
+// LastDuration returns how long the last append took that succeeded.
+func (j *Journal) LastDuration() time.Duration {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.took
 }
 
-// Answered returns when an append was last answered that has shown that this process
+// LastResponse returns when an append was last answered that has shown that this process
 // still was the writer.
-func (j *Journal) Answered() time.Time {
+func (j *Journal) LastResponse() time.Time {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.answered
@@ -262,9 +264,9 @@
 	return j.epoch
 }
 
-// Confirmed returns when an append was sent that has shown that this process
+// LastConfirmed returns when an append was sent that has shown that this process
 // still was the writer.
-func (j *Journal) Confirmed() time.Time {
+func (j *Journal) LastConfirmed() time.Time {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.confirmed
--- a/services/journal/journal_test.go
+++ b/services/journal/journal_test.go
@@ -88,13 +88,13 @@
 		assert.NilError(t, j.Append(t.Context(), []port.Record{{Key: "k", Value: []byte{1}}}))
 		go func() { _ = j.Append(t.Context(), []port.Record{{Key: "k", Value: []byte{2}}}) }()
 		time.Sleep(slow - time.Millisecond)
-		assert.Assert(t, !j.StuckFor(slow/2))
+		assert.Assert(t, !j.IsStuck(slow/2))
 		time.Sleep(time.Second)
-		assert.Assert(t, !j.StuckFor(slow/2))
+		assert.Assert(t, !j.IsStuck(slow/2))
 		stuck := &Journal{stuck: time.Now(), took: slow}
 		time.Sleep(2 * slowTimes * slow)
-		assert.Assert(t, stuck.StuckFor(slow/2))
-		assert.Assert(t, !stuck.StuckFor(time.Minute))
+		assert.Assert(t, stuck.IsStuck(slow/2))
+		assert.Assert(t, !stuck.IsStuck(time.Minute))
 	})
 }
 
--- a/services/journal/spare.go
+++ b/services/journal/spare.go
@@ -120,10 +120,10 @@
 // time makes this process its writer. It does not wait for the answer.
 func (j *Journal) checkSpare(ctx context.Context) error {
 	s := &j.spare
-	if j.Spare == (port.Partition{}) {
+	if j.Standby == (port.Partition{}) {
 		return nil
 	}
-	if !s.idle() || s.fenced && j.Clock.Now().Sub(s.asked) < max(sparePeriod, j.SparePeriod) {
+	if !s.idle() || s.fenced && j.Clock.Now().Sub(s.asked) < max(sparePeriod, j.StandbyProbePeriod) {
 		return nil
 	}
 	s.asked = j.Clock.Now()
@@ -131,7 +131,7 @@
 		s.start(ctx, j, s.next(s.stale()))
 		return nil
 	}
-	a, err := s.claim(j.Spare, claim{Epoch: j.Epoch()})
+	a, err := s.claim(j.Standby, claim{Epoch: j.Epoch()})
 	if err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 		wrapped[i] = port.Record{Key: r.Key, Value: value}
 	}
 	if len(s.newer) == 0 && len(records) > 0 {
-		j.Logger.Warn().Str("event", "spare").Str("topic", j.Spare.Topic).Int("part", j.Spare.Index).Uint64("session", s.session.Number).
+		j.Logger.Warn().Str("event", "spare").Str("topic", j.Standby.Topic).Int("part", j.Standby.Index).Uint64("session", s.session.Number).
 			Str("outcome", "used").Msg("the partition does not answer; records go to the spare one")
 		j.count(spareUsed)
 	}
@@ -202,7 +202,7 @@
 // too much for one append, a part of it goes alone, and nil is returned.
 func (j *Journal) startHome(ctx context.Context, records []port.Record) (*pendingAppend, error) {
 	s, m := &j.spare, j.wanted()
-	if j.Spare == (port.Partition{}) || m == s.mark {
+	if j.Standby == (port.Partition{}) || m == s.mark {
 		a := j.home.next(records)
 		j.home.start(ctx, j, a)
 		return a, nil
--- a/services/journal/spare_claim.go
+++ b/services/journal/spare_claim.go
@@ -22,7 +22,7 @@
 	if err != nil || !m.InUse {
 		return false, err
 	}
-	_, err = j.Store.Newest(ctx, j.Spare, "")
+	_, err = j.Store.Newest(ctx, j.Standby, "")
 	return true, err
 }
 
@@ -37,11 +37,11 @@
 // run fences the spare partition and reads it.
 func (c *spareClaim) run(ctx context.Context, j *Journal, mine claim) {
 	c.begun = true
-	if c.err = j.fence(ctx, &j.spare.partWriter, j.Spare, mine); c.err != nil {
+	if c.err = j.fence(ctx, &j.spare.partWriter, j.Standby, mine); c.err != nil {
 		return
 	}
 	c.fenced = true
-	c.records, c.err = j.readAll(ctx, j.Spare)
+	c.records, c.err = j.readAll(ctx, j.Standby)
 }
 
 // withSpare returns the records at home with those of the spare partition, where that is in
--- a/services/journal/spare_test.go
+++ b/services/journal/spare_test.go
@@ -26,7 +26,7 @@
 
 // newJournal returns a journal with a spare partition, as a node has it.
 func newJournal(w *world.World, node string) *Journal {
-	return &Journal{Partition: homeAt, Spare: spareAt, Store: w.Store(node), Logger: log.Nop()}
+	return &Journal{Partition: homeAt, Standby: spareAt, Store: w.Store(node), Logger: log.Nop()}
 }
 
 // inBubble plays a test with a clock of its own, and a context that ends before it does.
@@ -79,7 +79,7 @@
 				sent := time.Now()
 				keep(n)
 				longest = max(longest, time.Since(sent)-rushGap)
-				assert.Assert(t, !j.StuckFor(2*spareLeast))
+				assert.Assert(t, !j.IsStuck(2*spareLeast))
 			}
 			assert.Assert(t, longest < 2*spareLeast, "a batch waited %s", longest)
 			w.SetAbsent(homeAt, world.Present)
--- a/services/leases/leases.go
+++ b/services/leases/leases.go
@@ -64,7 +64,7 @@
 		// that is not renewed is judged by this process's clock as well.
 		free := !l.Until.After(k.Clock.Now())
 		if held || free && rendezvous.Owner(string(role), alive) == k.Name {
-			due = append(due, record.Record{Lease: &record.Lease{Role: role, Life: TTL}})
+			due = append(due, record.Record{Lease: &record.Lease{Role: role, TTL: TTL}})
 		}
 	}
 	return due
--- a/services/ledger/ledger.go
+++ b/services/ledger/ledger.go
@@ -75,7 +75,7 @@
 }
 
 // WaitFor returns once the state has folded everything up to a mark.
-func (l *Ledger) WaitFor(ctx context.Context, m state.Mark) error {
+func (l *Ledger) WaitFor(ctx context.Context, m state.Position) error {
 	for {
 		s, changed := l.Changed()
 		if s.Reached(m) {
@@ -140,7 +140,7 @@
 		l.changed = nil
 	}
 	for _, f := range folded {
-		if f.Fresh && f.Batch.Writer == l.Name && f.Batch.Incarnation == l.Incarnation {
+		if f.Applied && f.Batch.Writer == l.Name && f.Batch.Incarnation == l.Incarnation {
 			l.writer.decide(f.Batch.Sequence, f.Verdicts)
 		}
 	}
--- a/services/ledger/ledger_test.go
+++ b/services/ledger/ledger_test.go
@@ -56,7 +56,7 @@
 		// A second application would clash with the first.
 		assert.NilError(t, g.ProposeOne(ctx, team("d", fmt.Sprintf("t%d", n), g.State().Catalog.Version)))
 	}
-	assert.Equal(t, len(g.State().Catalog.Live()), 20)
+	assert.Equal(t, len(g.State().Catalog.Active()), 20)
 }
 
 func TestGroupsShareAppends(t *testing.T) {
@@ -94,7 +94,7 @@
 	assert.Assert(t, errkind.Is(short(), errkind.OutcomeUnknown))
 	assert.Assert(t, errkind.Is(short(), errkind.LogUnavailable))
 	l.SetFaults(standin.LogFaults{})
-	assert.NilError(t, g.WaitFor(context.Background(), state.Mark{Offset: g.State().Offset + 1}))
+	assert.NilError(t, g.WaitFor(context.Background(), state.Position{Offset: g.State().Offset + 1}))
 }
 
 func TestLateVerdictIsTold(t *testing.T) {
@@ -127,7 +127,7 @@
 	// ... but from a peer it can.
 	whole := func(context.Context) (state.State, error) { return a.State(), nil }
 	b := start(t, l, "b", Peers{State: whole})
-	assert.Equal(t, len(b.State().Catalog.Live()), 1)
+	assert.Equal(t, len(b.State().Catalog.Active()), 1)
 
 	// With a snapshot on the log it needs nobody.
 	s := a.State()
@@ -137,10 +137,10 @@
 		assert.NilError(t, a.ProposeOne(ctx, record.Record{Snapshot: &c}))
 	}
 	c := start(t, l, "c", Peers{})
-	assert.Equal(t, len(c.State().Catalog.Live()), 1)
+	assert.Equal(t, len(c.State().Catalog.Active()), 1)
 	assert.NilError(t, c.ProposeOne(ctx, team("d", "later", c.State().Catalog.Version)))
-	assert.NilError(t, a.WaitFor(ctx, state.Mark{Offset: c.State().Offset}))
-	assert.Equal(t, len(a.State().Catalog.Live()), 2)
+	assert.NilError(t, a.WaitFor(ctx, state.Position{Offset: c.State().Offset}))
+	assert.Equal(t, len(a.State().Catalog.Active()), 2)
 }
 
 func TestCutOffProcessFollowsAPeer(t *testing.T) {
@@ -171,12 +171,12 @@
 	}()
 	defer func() { cancel(); <-ended }()
 	assert.NilError(t, a.ProposeOne(context.Background(), team("d", "t", 0)))
-	assert.NilError(t, b.WaitFor(context.Background(), state.Mark{Offset: a.State().Offset}))
-	assert.Equal(t, len(b.State().Catalog.Live()), 1)
+	assert.NilError(t, b.WaitFor(context.Background(), state.Position{Offset: a.State().Offset}))
+	assert.Equal(t, len(b.State().Catalog.Active()), 1)
 	// What it writes reaches the log through the peer, once.
 	assert.NilError(t, b.Join(context.Background()))
 	assert.NilError(t, b.ProposeOne(context.Background(), team("d", "u", b.State().Catalog.Version)))
-	assert.Equal(t, len(a.State().Catalog.Live()), 2)
+	assert.Equal(t, len(a.State().Catalog.Active()), 2)
 }
 
 func TestReplacedProcessKnowsIt(t *testing.T) {
@@ -192,7 +192,7 @@
 		fresh.Run(ctx)
 	}()
 	assert.NilError(t, fresh.Join(ctx))
-	assert.NilError(t, old.WaitFor(ctx, state.Mark{Offset: fresh.State().Offset}))
+	assert.NilError(t, old.WaitFor(ctx, state.Position{Offset: fresh.State().Offset}))
 	assert.Assert(t, old.Removed())
 	cancel()
 	<-ended
--- a/services/ledger/writer.go
+++ b/services/ledger/writer.go
@@ -39,7 +39,7 @@
 	OnLateVerdicts func([]state.Verdict)
 	// OnSend is told, before the append, which batch the records are in; it may
 	// be nil and must not block.
-	OnSend func(m state.Mark)
+	OnSend func(m state.Position)
 }
 
 // waiting is a proposal on its way; Ledger.mu guards it.
@@ -133,7 +133,7 @@
 
 // ProposeNotify is ProposeOne that tells, before the append, which batch the
 // record is in; sent may be nil and must not block.
-func (l *Ledger) ProposeNotify(ctx context.Context, r record.Record, sent func(state.Mark)) error {
+func (l *Ledger) ProposeNotify(ctx context.Context, r record.Record, sent func(state.Position)) error {
 	verdicts, err := l.Propose(ctx, Proposal{Records: []record.Record{r}, OnSend: sent})
 	if err != nil {
 		return err
@@ -241,7 +241,7 @@
 	l.mu.Unlock()
 	for _, p := range flight {
 		if p.OnSend != nil {
-			p.OnSend(state.Mark{Writer: b.Writer, Incarnation: b.Incarnation, Sequence: b.Sequence})
+			p.OnSend(state.Position{Writer: b.Writer, Incarnation: b.Incarnation, Sequence: b.Sequence})
 		}
 	}
 }
@@ -263,7 +263,7 @@
 
 // Join enters this process into the roster; it must be the first proposal.
 func (l *Ledger) Join(ctx context.Context) error {
-	err := l.ProposeOne(ctx, record.Record{Join: &record.Join{Address: l.Address, Hall: l.DataCenter}})
+	err := l.ProposeOne(ctx, record.Record{Join: &record.Join{Address: l.Address, DataCenter: l.DataCenter}})
 	if err != nil {
 		return err
 	}
--- a/services/lending/lend.go
+++ b/services/lending/lend.go
@@ -24,7 +24,7 @@
 func (p *plan) lend() {
 	for _, customer := range p.told() {
 		limit := p.limit(customer)
-		if !quota.Limited(limit) || !p.fits(customer, limit) { // more runs than is allowed since the limit was lowered
+		if !quota.HasLimit(limit) || !p.fits(customer, limit) { // more runs than is allowed since the limit was lowered
 			continue
 		}
 		free := p.free(customer, limit)
@@ -65,13 +65,13 @@
 // lent nothing now.
 func (p *plan) mayBeLent(b *book, customer string) (quota.Account, bool) {
 	a, told := b.account(customer)
-	return a, told && b.follows(p.config.Version) && !a.Held
+	return a, told && b.follows(p.config.Version) && !a.Paused
 }
 
 // wantsMuch reports whether a pool that may be lent some wants much of what it may use.
 func (p *plan) wantsMuch(b *book, customer string, limit job.Size) bool {
 	a, may := p.mayBeLent(b, customer)
-	return may && !quota.Within(a.Wants.Times(quota.Told).Min(limit), b.told.For(customer, limit), limit)
+	return may && !quota.Within(a.Demand.Times(quota.ReportFactor).Min(limit), b.told.For(customer, limit), limit)
 }
 
 // sum returns what all pools may be using of a customer's.
@@ -108,9 +108,9 @@
 	if !may {
 		return job.Size{}
 	}
-	wants := a.Wants.Times(times)
+	wants := a.Demand.Times(times)
 	if times > 1 {
-		wants = wants.Max(limit.Scale(b.told.Part)) // where there is enough, nobody has less than the standing part
+		wants = wants.Max(limit.Scale(b.told.DefaultFraction)) // where there is enough, nobody has less than the standing part
 	}
 	return wants.Min(limit).Minus(b.most(customer, limit)).Max(job.Size{})
 }
@@ -160,7 +160,7 @@
 	a, _ := b.account(customer)
 	now := b.told.For(customer, limit)
 	p.l.Logger.Info().Str("event", "allowance").Str("customer", customer).Str("of", b.pool).Int("allowed_cpu", now.CPU).Int("allowed_memory_mb", now.MemoryMB).
-		Int("used_cpu", a.Used.CPU).Int("used_memory_mb", a.Used.MemoryMB).Int("wants_cpu", a.Wants.CPU).Int("wants_memory_mb", a.Wants.MemoryMB).
+		Int("used_cpu", a.Used.CPU).Int("used_memory_mb", a.Used.MemoryMB).Int("wants_cpu", a.Demand.CPU).Int("wants_memory_mb", a.Demand.MemoryMB).
 		Int("limit_cpu", limit.CPU).Int("limit_memory_mb", limit.MemoryMB).Dur("age", p.now.Sub(b.since)).Str("outcome", outcome).
 		Msg("a customer's allowance in a pool has changed")
 }
@@ -196,13 +196,13 @@
 	for i, name := range p.names {
 		b := p.l.books[name]
 		a, _ := b.account(customer)
-		if !b.follows(p.config.Version) || a.Held {
+		if !b.follows(p.config.Version) || a.Paused {
 			continue
 		}
 		share, has, most := shares[i], b.told.For(customer, limit), b.most(customer, limit)
 		grows := share.Minus(most).Max(job.Size{}).Min(free)
 		next := share.Min(most.Plus(grows))
-		if idle := quota.Within(a.Wants.Times(quota.Told), has, limit); !mayLower && !idle {
+		if idle := quota.Within(a.Demand.Times(quota.ReportFactor), has, limit); !mayLower && !idle {
 			next = next.Max(has)
 		}
 		gives, gets := short && !quota.Within(has, next, limit), next != has.Min(limit) && b.waitsFor(customer, limit)
@@ -210,7 +210,7 @@
 			continue
 		}
 		free = free.Minus(grows)
-		if !grows.Fits(job.Size{}) {
+		if !grows.FitsIn(job.Size{}) {
 			b.bound = b.bound.With(customer, most.Plus(grows))
 		}
 		p.tell(b, b.told.With(customer, next))
@@ -221,7 +221,7 @@
 // waitsFor reports whether something of a customer waits that a pool's allowance does not bear.
 func (b *book) waitsFor(customer string, limit job.Size) bool {
 	a, told := b.account(customer)
-	return told && !quota.Within(a.Wants.Min(limit), b.told.For(customer, limit), limit)
+	return told && !quota.Within(a.Demand.Min(limit), b.told.For(customer, limit), limit)
 }
 
 // isShort reports whether a pool's share is more than it can be given of what is free: then
@@ -258,7 +258,7 @@
 	for name, b := range p.l.books { // of pools that go by another configuration, all that they may use is taken
 		if i := slices.Index(p.names, name); i >= 0 && b.follows(p.config.Version) {
 			a, _ := b.account(customer)
-			wants[i] = a.Wants.Max(limit.Scale(b.told.Part * reservePart))
+			wants[i] = a.Demand.Max(limit.Scale(b.told.DefaultFraction * reservePart))
 			continue
 		}
 		left = left.Minus(b.most(customer, limit))
@@ -273,8 +273,8 @@
 	var short []claimant
 	for i, name := range p.names {
 		a, _ := p.l.books[name].account(customer)
-		if a.Least != (job.Size{}) && !quota.Within(wants[i], shares[i], limit) {
-			shares[i] = a.Least.Times(fits(a.Least, shares[i], limit))
+		if a.MinStart != (job.Size{}) && !quota.Within(wants[i], shares[i], limit) {
+			shares[i] = a.MinStart.Times(fits(a.MinStart, shares[i], limit))
 			short = append(short, claimant{i, a})
 		}
 		left = left.Minus(shares[i])
@@ -283,9 +283,9 @@
 		given = false
 		slices.SortStableFunc(short, func(a, b claimant) int { return a.before(b, shares) })
 		for _, c := range short {
-			if quota.Within(c.account.Least, left, limit) && !quota.Within(c.account.Wants, shares[c.index], limit) {
-				shares[c.index] = shares[c.index].Plus(c.account.Least)
-				left = left.Minus(c.account.Least)
+			if quota.Within(c.account.MinStart, left, limit) && !quota.Within(c.account.Demand, shares[c.index], limit) {
+				shares[c.index] = shares[c.index].Plus(c.account.MinStart)
+				left = left.Minus(c.account.MinStart)
 				given = true
 				break
 			}
@@ -304,15 +304,15 @@
 	keeps, room := make([]job.Size, len(shares)), left
 	for i, name := range p.names {
 		a, _ := p.l.books[name].account(customer)
-		keeps[i] = shares[i].Min(a.Wants)
+		keeps[i] = shares[i].Min(a.Demand)
 		room = room.Plus(shares[i].Minus(keeps[i]))
 	}
 	for _, c := range short {
-		if quota.Within(c.account.Least, shares[c.index], limit) || !quota.Within(c.account.Least, room.Plus(keeps[c.index]), limit) {
+		if quota.Within(c.account.MinStart, shares[c.index], limit) || !quota.Within(c.account.MinStart, room.Plus(keeps[c.index]), limit) {
 			continue
 		}
 		copy(shares, keeps)
-		shares[c.index] = c.account.Least
+		shares[c.index] = c.account.MinStart
 		return
 	}
 }
@@ -326,7 +326,7 @@
 // before orders claimants for what is left over: first those that can begin nothing, by how
 // long something has waited there; then those that run more already, so that little is moved.
 func (c claimant) before(o claimant, shares []job.Size) int {
-	return cmp.Or(cmp.Compare(c.turn(shares), o.turn(shares)), cmp.Compare(o.account.Waits, c.account.Waits))
+	return cmp.Or(cmp.Compare(c.turn(shares), o.turn(shares)), cmp.Compare(o.account.WaitTime, c.account.WaitTime))
 }
 
 // turn returns the claimant's place among the others, lower for earlier.
@@ -334,7 +334,7 @@
 	switch share := shares[c.index]; {
 	case share == job.Size{}:
 		return 0
-	case share.Plus(c.account.Least).Fits(c.account.Used):
+	case share.Plus(c.account.MinStart).FitsIn(c.account.Used):
 		return 1
 	}
 	return 2
@@ -361,7 +361,7 @@
 		for i := range wants {
 			list[i] = *part(&wants[i])
 		}
-		for i, share := range quota.Share(max(*part(&size), 0), list) {
+		for i, share := range quota.FairShare(max(*part(&size), 0), list) {
 			*part(&shares[i]) = share
 		}
 	}
--- a/services/lending/lender.go
+++ b/services/lending/lender.go
@@ -58,7 +58,7 @@
 	taken bool                 // it has the newest
 	since time.Time            // when it reported last, or was first known
 	idle  map[string]time.Time // since when it has not used much of what it was lent, by customer
-	said  quota.Statement      // the newest
+	said  quota.Report         // the newest
 }
 
 // Restore takes a record of an earlier holder's journal; others than those of bounds are
@@ -90,11 +90,11 @@
 func (l *Lender) WantedAccounts() []string { return slices.Sorted(maps.Keys(l.asks)) }
 
 // Query returns what a pool's owner is to be asked.
-func (l *Lender) Query(pool string) quota.Question {
-	q := quota.Question{Epoch: l.Epoch, Accounts: l.WantedAccounts()}
+func (l *Lender) Query(pool string) quota.Query {
+	q := quota.Query{Epoch: l.Epoch, Accounts: l.WantedAccounts()}
 	if b := l.books[pool]; b != nil && b.heard && !b.taken {
 		told := b.told
-		q.Allow = &told
+		q.Allowances = &told
 	}
 	return q
 }
@@ -126,17 +126,17 @@
 
 // ApplyReport takes a pool's statement. What comes from an owner that another has replaced, or was
 // said before the newest, is passed over.
-func (l *Lender) ApplyReport(pool string, s quota.Statement, now time.Time) {
+func (l *Lender) ApplyReport(pool string, s quota.Report, now time.Time) {
 	b := l.book(pool, now)
-	if s.Owner < b.said.Owner || s.Owner == b.said.Owner && s.Allowed.Before(b.said.Allowed) {
+	if s.OwnerEpoch < b.said.OwnerEpoch || s.OwnerEpoch == b.said.OwnerEpoch && s.Allowances.OlderThan(b.said.Allowances) {
 		return
 	}
 	b.said, b.since = s, now
 	if !b.heard {
-		b.told, b.heard, b.taken = s.Allowed, true, true
+		b.told, b.heard, b.taken = s.Allowances, true, true
 		return
 	}
-	b.taken = s.Allowed.Epoch == b.told.Epoch && s.Allowed.Number == b.told.Number
+	b.taken = s.Allowances.Epoch == b.told.Epoch && s.Allowances.Revision == b.told.Revision
 }
 
 // Plan decides on the allowances by a configuration, and returns the records that must be
@@ -156,7 +156,7 @@
 }
 
 func hasLimits(c *config.Config) bool {
-	return slices.ContainsFunc(c.Customers, func(o config.Customer) bool { return quota.Limited(o.Limit) })
+	return slices.ContainsFunc(c.Customers, func(o config.Customer) bool { return quota.HasLimit(o.Limit) })
 }
 
 // account returns what a pool has told of a customer, and false where it has told nothing:
@@ -169,7 +169,7 @@
 // follows reports whether a pool has told that it goes by a version of the configuration. One
 // that goes by another is lent nothing: of a limit that it never gets to know a lower one may
 // be the next, and it holds back only what was lent by limits that it has known.
-func (b *book) follows(version uint64) bool { return b.heard && b.said.Config == version }
+func (b *book) follows(version uint64) bool { return b.heard && b.said.ConfigVersion == version }
 
 // most returns the most that a pool may be using of a customer's.
 func (b *book) most(customer string, limit job.Size) job.Size { return b.bound.For(customer, limit) }
--- a/services/lending/lender_test.go
+++ b/services/lending/lender_test.go
@@ -37,7 +37,7 @@
 		if last := p.config.Customer(o.Name); last != nil {
 			before = last.Limit
 		}
-		if quota.Lowered(before, o.Limit) {
+		if quota.IsLowered(before, o.Limit) {
 			p.lowered[o.Name] = c.Version
 		}
 	}
@@ -57,24 +57,24 @@
 	}
 }
 
-func (p *pool) statement(q quota.Question) quota.Statement {
-	if q.Allow != nil && p.set.Before(*q.Allow) {
-		p.set = *q.Allow
+func (p *pool) statement(q quota.Query) quota.Report {
+	if q.Allowances != nil && p.set.OlderThan(*q.Allowances) {
+		p.set = *q.Allowances
 	}
-	s := quota.Statement{Owner: p.epoch, Config: p.config.Version, Allowed: p.set, Accounts: make(map[string]quota.Account)}
+	s := quota.Report{OwnerEpoch: p.epoch, ConfigVersion: p.config.Version, Allowances: p.set, Accounts: make(map[string]quota.Account)}
 	if p.set.Epoch == q.Epoch {
-		s.Allowed.Of = nil
+		s.Allowances.ByCustomer = nil
 	}
 	for _, o := range p.config.Customers {
-		a := quota.Account{Used: job.Size{CPU: p.used[o.Name]}, Wants: job.Size{CPU: p.used[o.Name] + p.waiting[o.Name]}, Held: p.lowered[o.Name] > p.set.Version}
+		a := quota.Account{Used: job.Size{CPU: p.used[o.Name]}, Demand: job.Size{CPU: p.used[o.Name] + p.waiting[o.Name]}, Paused: p.lowered[o.Name] > p.set.Version}
 		if p.waiting[o.Name] > 0 {
-			a.Least.CPU = 1
+			a.MinStart.CPU = 1
 		}
 		asked := false
 		for _, name := range q.Accounts {
 			asked = asked || name == o.Name
 		}
-		if asked || a.Held || a.Wants.CPU*quota.Told > p.set.For(o.Name, o.Limit).CPU {
+		if asked || a.Paused || a.Demand.CPU*quota.ReportFactor > p.set.For(o.Name, o.Limit).CPU {
 			s.Accounts[o.Name] = a
 		}
 	}
@@ -126,7 +126,7 @@
 	for _, name := range s.names() {
 		p := s.pools[name]
 		if !s.lost() {
-			s.lender.ApplyReport(name, p.statement(quota.Question{Epoch: s.lender.Epoch, Accounts: s.lender.WantedAccounts()}), s.now)
+			s.lender.ApplyReport(name, p.statement(quota.Query{Epoch: s.lender.Epoch, Accounts: s.lender.WantedAccounts()}), s.now)
 		}
 	}
 }
--- a/services/lending/plan.go
+++ b/services/lending/plan.go
@@ -86,7 +86,7 @@
 	}
 	left := standingShare
 	for _, b := range p.l.books {
-		left -= b.bound.Part
+		left -= b.bound.DefaultFraction
 	}
 	for _, name := range p.l.pools() {
 		b := p.l.books[name]
@@ -98,15 +98,15 @@
 			aim = 0
 		}
 		next := b.told
-		switch more := aim - b.bound.Part; {
-		case b.told.Part > aim:
-			next.Part = aim
+		switch more := aim - b.bound.DefaultFraction; {
+		case b.told.DefaultFraction > aim:
+			next.DefaultFraction = aim
 			p.tell(b, next)
 		case more > 0 && left >= more-tinyPart && b.follows(p.config.Version):
 			left -= more
 			p.pin(b, more)
 			next = b.told
-			next.Part, b.bound.Part = aim, aim
+			next.DefaultFraction, b.bound.DefaultFraction = aim, aim
 			p.tell(b, next)
 		}
 	}
@@ -117,7 +117,7 @@
 func (p *plan) pin(b *book, more float64) {
 	for i := range p.config.Customers {
 		c := &p.config.Customers[i]
-		if !quota.Limited(c.Limit) || quota.Within(c.Limit.Scale(more), p.free(c.Name, c.Limit), c.Limit) {
+		if !quota.HasLimit(c.Limit) || quota.Within(c.Limit.Scale(more), p.free(c.Name, c.Limit), c.Limit) {
 			continue
 		}
 		b.bound = b.bound.With(c.Name, b.most(c.Name, c.Limit))
@@ -145,7 +145,7 @@
 	held := make(map[string]bool)
 	for _, name := range p.names {
 		for customer, a := range p.l.books[name].said.Accounts {
-			if a.Held {
+			if a.Paused {
 				held[customer] = true
 			}
 		}
@@ -171,10 +171,10 @@
 	for name, b := range p.l.books {
 		a, told := b.account(customer)
 		used[name] = a.Used
-		if !told || !a.Held {
+		if !told || !a.Paused {
 			used[name] = b.most(customer, limit).Max(a.Used)
 		}
-		keeps[name] = used[name].Max(limit.Scale(min(b.told.Part, b.bound.Part)))
+		keeps[name] = used[name].Max(limit.Scale(min(b.told.DefaultFraction, b.bound.DefaultFraction)))
 		allUsed, allKept = allUsed.Plus(used[name]), allKept.Plus(keeps[name])
 	}
 	if !quota.Within(allKept, limit, limit) {
@@ -185,7 +185,7 @@
 		if !b.heard {
 			continue
 		}
-		if standing := limit.Scale(b.told.Part); begins && b.told.Part == b.bound.Part && keeps[name] == standing {
+		if standing := limit.Scale(b.told.DefaultFraction); begins && b.told.DefaultFraction == b.bound.DefaultFraction && keeps[name] == standing {
 			b.bound = b.bound.Without(customer)
 			p.tell(b, b.told.Without(customer))
 			continue
@@ -206,17 +206,17 @@
 		if !b.heard || !b.taken {
 			continue
 		}
-		for _, customer := range slices.Sorted(maps.Keys(b.told.Of)) {
+		for _, customer := range slices.Sorted(maps.Keys(b.told.ByCustomer)) {
 			limit := p.limit(customer)
 			if _, told := b.account(customer); told || b.idle[customer].IsZero() {
 				b.used(customer, p.now)
 				continue
 			}
-			if !quota.Limited(limit) || p.now.Sub(b.idle[customer]) < relaxAfter {
+			if !quota.HasLimit(limit) || p.now.Sub(b.idle[customer]) < relaxAfter {
 				continue
 			}
 			b.used(customer, p.now)
-			has, standing := b.told.For(customer, limit), limit.Scale(b.told.Part)
+			has, standing := b.told.For(customer, limit), limit.Scale(b.told.DefaultFraction)
 			switch half := has.Scale(relaxPart); {
 			case !quota.Within(half, standing, limit):
 				p.tell(b, b.told.With(customer, half))
@@ -257,11 +257,11 @@
 		}
 		if !reflect.DeepEqual(b.told, last.told) {
 			p.l.number++
-			b.told.Epoch, b.told.Number = p.l.Epoch, p.l.number
-			p.l.Logger.Info().Str("event", "allowance").Str("of", name).Uint64("number", b.told.Number).Uint64("config", b.told.Version).
-				Float64("part", b.told.Part).Int("customers", len(b.told.Of)).Str("outcome", "set").Msg("a pool's allowances are set")
+			b.told.Epoch, b.told.Revision = p.l.Epoch, p.l.number
+			p.l.Logger.Info().Str("event", "allowance").Str("of", name).Uint64("number", b.told.Revision).Uint64("config", b.told.Version).
+				Float64("part", b.told.DefaultFraction).Int("customers", len(b.told.ByCustomer)).Str("outcome", "set").Msg("a pool's allowances are set")
 		}
-		if b.bound.Part == last.bound.Part && maps.Equal(b.bound.Of, last.bound.Of) {
+		if b.bound.DefaultFraction == last.bound.DefaultFraction && maps.Equal(b.bound.ByCustomer, last.bound.ByCustomer) {
 			continue
 		}
 		value, err := codec.Marshal(b.bound)
--- a/services/measure/ports.go
+++ b/services/measure/ports.go
@@ -73,7 +73,7 @@
 		m.Time("worker.pace", time.Since(began), string(a.Result))
 		return a
 	}
-	counted.Poll = func(ctx context.Context, k port.Poll) (worker.Listing, port.Response) {
+	counted.Poll = func(ctx context.Context, k port.Poll) (worker.PollResult, port.Response) {
 		listing, a := l.Poll(ctx, k)
 		m.Count("worker.look." + string(a.Result))
 		return listing, a
--- a/services/members/members.go
+++ b/services/members/members.go
@@ -30,7 +30,7 @@
 type Row struct {
 	Entry       string `json:"n"`
 	Incarnation uint64 `json:"i"`
-	Beat        uint64 `json:"b"` // raised by the entry when it is taken for dead
+	Refutation  uint64 `json:"b"` // raised by the entry when it is taken for dead
 	Offset      uint64 `json:"o,omitempty"`
 	Dead        bool   `json:"d,omitempty"`
 }
@@ -50,8 +50,8 @@
 	State       func() state.State
 	// Probe sends a message to an entry and returns its answer.
 	Probe func(ctx context.Context, entry string, m Message) (Message, error)
-	// Ask has a helper probe an entry, and returns nil if that answered.
-	Ask func(ctx context.Context, helper, entry string) error
+	// ProbeVia has a helper probe an entry, and returns nil if that answered.
+	ProbeVia func(ctx context.Context, helper, entry string) error
 	// Shuffle mixes n things; nil for at random.
 	Shuffle func(n int, swap func(i, j int))
 
@@ -111,7 +111,7 @@
 
 // probe asks an entry whether it is alive, and helpers if it does not answer.
 func (t *Table) probe(ctx context.Context, entry string) {
-	if t.Reach(ctx, entry) == nil {
+	if t.Ping(ctx, entry) == nil {
 		return
 	}
 	if t.probeByHelpers(ctx, entry) {
@@ -127,8 +127,8 @@
 	}
 }
 
-// Reach probes an entry and returns nil if it answered.
-func (t *Table) Reach(ctx context.Context, entry string) error {
+// Ping probes an entry and returns nil if it answered.
+func (t *Table) Ping(ctx context.Context, entry string) error {
 	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	answer, err := t.Probe(bounded, entry, t.compose(entry))
@@ -164,11 +164,11 @@
 	reached chan<- bool
 }
 
-func (h helping) run(ctx context.Context) { h.reached <- h.t.Ask(ctx, h.helper, h.entry) == nil }
+func (h helping) run(ctx context.Context) { h.reached <- h.t.ProbeVia(ctx, h.helper, h.entry) == nil }
 
 // others returns the present entries but this one.
 func (t *Table) others() []string {
-	return slices.DeleteFunc(t.State().Roster(), func(n string) bool { return n == t.Name })
+	return slices.DeleteFunc(t.State().MemberNames(), func(n string) bool { return n == t.Name })
 }
 
 // row returns what is known of an entry, a fresh row for nothing; t.mu is held.
@@ -196,7 +196,7 @@
 	offset := t.State().Offset
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m := Message{Rows: []Row{{Entry: t.Name, Incarnation: t.Incarnation, Beat: t.beat, Offset: offset}}}
+	m := Message{Rows: []Row{{Entry: t.Name, Incarnation: t.Incarnation, Refutation: t.beat, Offset: offset}}}
 	if r := t.row(to); r.Dead {
 		m.Rows = append(m.Rows, r.Row)
 	}
@@ -216,8 +216,8 @@
 	return m
 }
 
-// Take merges another entry's message and returns the answer to it.
-func (t *Table) Take(m Message) Message {
+// Receive merges another entry's message and returns the answer to it.
+func (t *Table) Receive(m Message) Message {
 	t.merge(m)
 	if len(m.Rows) == 0 {
 		return Message{}
@@ -249,8 +249,8 @@
 
 // object raises this entry's beat above one at which it was taken for dead.
 func (t *Table) object(row Row) {
-	if row.Dead && row.Incarnation <= t.Incarnation && row.Beat >= t.beat {
-		t.beat = row.Beat + 1
+	if row.Dead && row.Incarnation <= t.Incarnation && row.Refutation >= t.beat {
+		t.beat = row.Refutation + 1
 	}
 }
 
@@ -260,8 +260,8 @@
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
 	}
-	if a.Beat != b.Beat {
-		return a.Beat > b.Beat
+	if a.Refutation != b.Refutation {
+		return a.Refutation > b.Refutation
 	}
 	return a.Dead && !b.Dead
 }
@@ -280,7 +280,7 @@
 // AliveEntries returns the present entries that are not taken for dead, this
 // one included.
 func (t *Table) AliveEntries() []string {
-	return slices.DeleteFunc(t.State().Roster(), func(n string) bool { return !t.Alive(n) })
+	return slices.DeleteFunc(t.State().MemberNames(), func(n string) bool { return !t.Alive(n) })
 }
 
 // Member is one row of a dump.
--- a/services/members/members_test.go
+++ b/services/members/members_test.go
@@ -42,14 +42,14 @@
 		s = s.Fold(record.Stored{Offset: s.Offset, At: time.Unix(1, 0), Data: data}).State
 	}
 	random := rand.New(rand.NewPCG(1, 2))
-	for _, name := range s.Roster() {
+	for _, name := range s.MemberNames() {
 		t := &Table{Shuffle: random.Shuffle, Name: name, Incarnation: 1, State: func() state.State { return s }}
 		t.Probe = func(_ context.Context, to string, msg Message) (Message, error) { return m.send(name, to, msg) }
-		t.Ask = func(ctx context.Context, helper, entry string) error {
+		t.ProbeVia = func(ctx context.Context, helper, entry string) error {
 			if m.lost(name, helper) {
 				return errNoAnswer
 			}
-			return m.tables[helper].Reach(ctx, entry)
+			return m.tables[helper].Ping(ctx, entry)
 		}
 		m.tables[name] = t
 	}
@@ -65,7 +65,7 @@
 	if m.lost(from, to) {
 		return Message{}, errNoAnswer
 	}
-	return m.tables[to].Take(msg), nil
+	return m.tables[to].Receive(msg), nil
 }
 
 // round lets every table probe once.
--- a/services/monitor/monitor.go
+++ b/services/monitor/monitor.go
@@ -22,8 +22,8 @@
 	Logger    log.Logger
 	// Probe asks a node whether it is there; the answer names its life.
 	Probe func(ctx context.Context, n directory.Node) (uint64, error)
-	// Ask has one node probe another.
-	Ask func(ctx context.Context, helper, n directory.Node) error
+	// ProbeVia has one node probe another.
+	ProbeVia func(ctx context.Context, helper, n directory.Node) error
 }
 
 // The pace of probes. A node is missed after two probes in a row that failed and
@@ -78,7 +78,7 @@
 		return
 	}
 	failed[n.Name]++
-	m.Logger.Info().Str("event", "node").Str("node", n.Name).Uint64("life", n.Life).Int("misses", failed[n.Name]).Err(err).
+	m.Logger.Info().Str("event", "node").Str("node", n.Name).Uint64("life", n.Incarnation).Int("misses", failed[n.Name]).Err(err).
 		Str("outcome", "missed").Msg("a node does not answer a probe")
 	if failed[n.Name] < misses || ctx.Err() != nil {
 		return
@@ -88,7 +88,7 @@
 		return
 	}
 	err = m.Directory.Remove(ctx, n.Name)
-	m.Logger.Info().Str("event", "node").Str("node", n.Name).Uint64("life", n.Life).AnErr("err", err).Str("outcome", "gone").
+	m.Logger.Info().Str("event", "node").Str("node", n.Name).Uint64("life", n.Incarnation).AnErr("err", err).Str("outcome", "gone").
 		Msg("a node is not reached by any that was asked and is taken out")
 }
 
@@ -97,7 +97,7 @@
 	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	life, err := m.Probe(bounded, n)
-	if err == nil && life != n.Life {
+	if err == nil && life != n.Incarnation {
 		err = errkind.New(errkind.Gone, "another life of the node answers: %d", life)
 	}
 	return err
@@ -136,4 +136,4 @@
 }
 
 // run asks the helper.
-func (h help) run(ctx context.Context) { h.answers <- h.m.Ask(ctx, h.helper, h.node) }
+func (h help) run(ctx context.Context) { h.answers <- h.m.ProbeVia(ctx, h.helper, h.node) }
--- a/services/owner/commit.go
+++ b/services/owner/commit.go
@@ -31,7 +31,7 @@
 		if err := o.idle(ctx, wake); err != nil {
 			return err
 		}
-		if o.Clock.Now().Sub(o.Journal.Answered()) > confirmAfter {
+		if o.Clock.Now().Sub(o.Journal.LastResponse()) > confirmAfter {
 			if err := o.Journal.Append(ctx, nil); err != nil {
 				return err
 			}
@@ -88,7 +88,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.pool.Committed(batch, o.Journal.Confirmed())
+	o.pool.Committed(batch, o.Journal.LastConfirmed())
 	o.kept = batch.Number
 	for n, waiting := range o.waiting {
 		if n > o.kept {
--- a/services/owner/fence_test.go
+++ b/services/owner/fence_test.go
@@ -26,7 +26,7 @@
 func TestRunKeptLongAgoIsNotBegun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := world.New(1)
-		queues := []config.Queue{{Name: "q", Host: "h", PathPrefix: "/q/", Pool: "p", Attempts: 3, Stretch: 1.5, Target: time.Second}}
+		queues := []config.Queue{{Name: "q", Host: "h", PathPrefix: "/q/", Pool: "p", MaxAttempts: 3, Stretch: 1.5, BaseObjective: time.Second}}
 		first := open(t, w)
 		var frozen, taken atomic.Bool
 		appendRecords := first.Journal.Store.Append
--- a/services/owner/overload_test.go
+++ b/services/owner/overload_test.go
@@ -57,7 +57,7 @@
 	o := open(t, w)
 	o.Limits.StopTime = 200 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
-	queues := []config.Queue{{Name: "q", Host: "h", PathPrefix: "/q/", Pool: "p", Stretch: 1.6, Target: 600 * time.Millisecond}}
+	queues := []config.Queue{{Name: "q", Host: "h", PathPrefix: "/q/", Pool: "p", Stretch: 1.6, BaseObjective: 600 * time.Millisecond}}
 	o.Configure(config.New(1, queues, []config.Pool{{Name: "p"}}, config.Limits{}).WithCustomers(customers))
 	ended := make(chan error, 1)
 	go func() { ended <- o.Run(ctx) }()
--- a/services/owner/owner.go
+++ b/services/owner/owner.go
@@ -91,12 +91,12 @@
 // isolate notes whether the owner could learn that another has taken over: from the
 // store, or from another node. The lock is held.
 func (o *Owner) isolate() {
-	isolated := o.NoPeers != nil && o.Clock.Now().Sub(o.Journal.Confirmed()) > unconfirmed && o.NoPeers()
+	isolated := o.NoPeers != nil && o.Clock.Now().Sub(o.Journal.LastConfirmed()) > unconfirmed && o.NoPeers()
 	if isolated == o.pool.Isolated {
 		return
 	}
 	o.pool.Isolated = isolated
-	o.Logger.Warn().Str("event", "isolated").Bool("isolated", isolated).Time("confirmed", o.Journal.Confirmed()).
+	o.Logger.Warn().Str("event", "isolated").Bool("isolated", isolated).Time("confirmed", o.Journal.LastConfirmed()).
 		Msg("whether this owner reaches the store or another node has changed; while it does not, leases are not extended")
 }
 
--- a/services/owner/report.go
+++ b/services/owner/report.go
@@ -58,15 +58,15 @@
 
 // UpdateAllowances gives the pool other allowances, if the question brings some, and returns what it tells
 // of them once it has kept what they lower.
-func (o *Owner) UpdateAllowances(ctx context.Context, q quota.Question) (quota.Statement, error) {
+func (o *Owner) UpdateAllowances(ctx context.Context, q quota.Query) (quota.Report, error) {
 	err := o.keep(ctx, func() (uint64, error) {
-		if q.Allow == nil {
+		if q.Allowances == nil {
 			return 0, nil
 		}
-		return o.pool.SetAllowances(*q.Allow), nil
+		return o.pool.SetAllowances(*q.Allowances), nil
 	})
 	if err != nil {
-		return quota.Statement{}, err
+		return quota.Report{}, err
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/services/owner/restart_test.go
+++ b/services/owner/restart_test.go
@@ -45,12 +45,12 @@
 		o.Workers.Open = func(w worker.Worker) *port.Link {
 			opened = append(opened, w.Address)
 			return &port.Link{
-				Poll: func(ctx context.Context, _ port.Poll) (worker.Listing, port.Response) {
+				Poll: func(ctx context.Context, _ port.Poll) (worker.PollResult, port.Response) {
 					if w.Address == "b" {
-						return worker.Listing{}, port.Response{Result: port.Accepted, Clock: time.Second}
+						return worker.PollResult{}, port.Response{Result: port.Accepted, Clock: time.Second}
 					}
 					<-ctx.Done()
-					return worker.Listing{}, port.Response{Result: port.Unknown}
+					return worker.PollResult{}, port.Response{Result: port.Unknown}
 				},
 				Close: func() {},
 			}
--- a/services/owner/submit.go
+++ b/services/owner/submit.go
@@ -65,8 +65,8 @@
 	if err := o.pool.CheckAccess(s.ID, s.Customer); errkind.Is(err, errkind.Forbidden) {
 		return 0, err
 	}
-	if o.Journal.StuckFor(stuckRefuse) && !o.pool.Has(s.ID) {
-		stuck := o.Journal.Stuck()
+	if o.Journal.IsStuck(stuckRefuse) && !o.pool.Has(s.ID) {
+		stuck := o.Journal.PendingFor()
 		o.Logger.Info().Str("event", "submit").Str("job", string(s.ID)).Dur("stuck", stuck).Str("outcome", "refused").
 			Msg("a job is refused since the store does not answer")
 		return 0, errkind.New(errkind.LogUnavailable, "the store has not answered for %s", stuck.Round(time.Millisecond))
--- a/services/ownership/hand_over.go
+++ b/services/ownership/hand_over.go
@@ -126,7 +126,7 @@
 		o, err := s.RequestTakeOver(bounded, v.Nodes[name], pool)
 		cancel()
 		if err == nil {
-			s.Directory.Learn(o)
+			s.Directory.Observe(o)
 		}
 		s.Logger.Info().Str("event", "hand-over").Str("pool", pool).Str("to", name).AnErr("err", err).Msg("a pool is handed over")
 		if err == nil {
--- a/services/ownership/steward.go
+++ b/services/ownership/steward.go
@@ -77,7 +77,7 @@
 	s.mu.Unlock()
 	for ctx.Err() == nil {
 		v, changed := s.Directory.View()
-		if v != nil && v.Nodes[s.Directory.Self.Name].Life == s.Directory.Self.Life {
+		if v != nil && v.Nodes[s.Directory.Self.Name].Incarnation == s.Directory.Self.Incarnation {
 			s.look(ctx, v, s.Clock.Now().Sub(began) > settle)
 		}
 		select {
--- a/services/ownership/tenure.go
+++ b/services/ownership/tenure.go
@@ -63,7 +63,7 @@
 // claim claims the pool and tells all nodes.
 func (t tenure) claim(ctx context.Context) (*RoleRunner, error) {
 	self := t.s.Directory.Self
-	slot, err := t.s.Directory.Slot(ctx, t.pool, t.s.Roles(t.s.Config()))
+	slot, err := t.s.Directory.AssignSlot(ctx, t.pool, t.s.Roles(t.s.Config()))
 	if err != nil {
 		return nil, err
 	}
@@ -71,7 +71,7 @@
 	if err := o.Claim(ctx, self.Name); err != nil {
 		return nil, err
 	}
-	go telling{t.s, directory.Ownership{Pool: t.pool, Slot: slot, Epoch: o.Epoch(), Node: self.Name, Life: self.Life}, o}.run(ctx)
+	go telling{t.s, directory.Ownership{Pool: t.pool, Slot: slot, Epoch: o.Epoch(), Node: self.Name, Incarnation: self.Incarnation}, o}.run(ctx)
 	return o, nil
 }
 
@@ -128,7 +128,7 @@
 // ownership returns what the directory is to say of a duty that this node owns.
 func (s *Manager) ownership(duty string, t *RoleRunner) directory.Ownership {
 	self := s.Directory.Self
-	o := directory.Ownership{Pool: duty, Epoch: t.Epoch(), Node: self.Name, Life: self.Life}
+	o := directory.Ownership{Pool: duty, Epoch: t.Epoch(), Node: self.Name, Incarnation: self.Incarnation}
 	if v, _ := s.Directory.View(); v != nil {
 		o.Slot = v.Pools[duty].Slot
 	}
--- a/services/pools/assign.go
+++ b/services/pools/assign.go
@@ -55,14 +55,14 @@
 	}
 	for _, i := range p.s.OutOfService() {
 		if i.Purpose == record.ForMove {
-			p.incoming[i.To]++
+			p.incoming[i.MoveTo]++
 		}
 	}
 }
 
 // propose adds a record if the fold would accept it, and reports whether.
 func (p *planner) propose(r record.Record) bool {
-	next, verdict := p.s.Try(p.name, p.inc, r)
+	next, verdict := p.s.DryRun(p.name, p.inc, r)
 	if verdict != nil {
 		return false
 	}
@@ -148,7 +148,7 @@
 func (p *planner) choice(q *manifest.Pool) int {
 	n := 0
 	for _, i := range p.spare {
-		if i.Serving() && q.Takes(i.Worker.Kind) {
+		if i.Serving() && q.AcceptsKind(i.Worker.Kind) {
 			n++
 		}
 	}
@@ -226,7 +226,7 @@
 			continue
 		}
 		for _, i := range p.s.PoolInstances(o.Name) {
-			if i.Serving() && q.Takes(i.Worker.Kind) {
+			if i.Serving() && q.AcceptsKind(i.Worker.Kind) {
 				found = append(found, i)
 			}
 		}
@@ -237,7 +237,7 @@
 // rack names a rack of a hall.
 type rack struct{ hall, name string }
 
-func rackOf(i state.Instance) rack { return rack{i.Worker.Hall, i.Worker.Rack} }
+func rackOf(i state.Instance) rack { return rack{i.Worker.DataCenter, i.Worker.Rack} }
 
 // spread counts the instances of a pool by rack and hall.
 type spread struct {
@@ -249,7 +249,7 @@
 	c := spread{racks: make(map[rack]int), halls: make(map[string]int)}
 	for _, i := range p.s.PoolInstances(q.Name) {
 		c.racks[rackOf(i)]++
-		c.halls[i.Worker.Hall]++
+		c.halls[i.Worker.DataCenter]++
 	}
 	return c
 }
@@ -262,23 +262,23 @@
 // taken instead.
 func (p *planner) best(q *manifest.Pool, c spread, candidates []state.Instance, refused map[string]bool) (best state.Instance, ok bool) {
 	fits := func(i *state.Instance) bool {
-		return i.Serving() && q.Takes(i.Worker.Kind) && !refused[i.Worker.ID]
+		return i.Serving() && q.AcceptsKind(i.Worker.Kind) && !refused[i.Worker.ID]
 	}
 	survive := func(hall int) int {
-		if q.Survive == manifest.DomainHall {
+		if q.FailureDomain == manifest.DomainDataCenter {
 			return hall
 		}
 		return 0
 	}
 	even, ok := least(candidates, fits, func(i *state.Instance) [5]int {
-		at, hall := rackOf(*i), c.halls[i.Worker.Hall]
+		at, hall := rackOf(*i), c.halls[i.Worker.DataCenter]
 		return [5]int{survive(hall), c.racks[at], p.runsOn(*i), hall, -p.spareIn[at]}
 	})
 	if !ok || p.leavesRoom(rackOf(even)) {
 		return even, ok
 	}
 	return least(candidates, fits, func(i *state.Instance) [5]int {
-		at, hall := rackOf(*i), c.halls[i.Worker.Hall]
+		at, hall := rackOf(*i), c.halls[i.Worker.DataCenter]
 		return [5]int{survive(hall), c.racks[at], p.runsOn(*i), -p.spareIn[at], hall}
 	})
 }
@@ -339,7 +339,7 @@
 }
 
 // runsOn counts the job runs that hold room on an instance's worker.
-func (p *planner) runsOn(i state.Instance) int { return p.s.UseOf(i.Worker.ID).Runs }
+func (p *planner) runsOn(i state.Instance) int { return p.s.WorkerUsage(i.Worker.ID).Runs }
 
 // took notes that a spare instance has found a pool.
 func (p *planner) took(i state.Instance) {
--- a/services/pools/calendar.go
+++ b/services/pools/calendar.go
@@ -42,7 +42,7 @@
 		}
 		d.Instances++
 		if by := i.MaintainedAt.Add(m.Period.Std()); d.Instances == 1 || by.Before(d.By) {
-			d.From, d.By = i.MaintainedAt.Add(m.PeriodShare(manifest.DueShare)), by
+			d.From, d.By = i.MaintainedAt.Add(m.PeriodFraction(manifest.DueFraction)), by
 		}
 	}
 	calendar := make([]Due, 0, len(racks))
--- a/services/pools/decider.go
+++ b/services/pools/decider.go
@@ -69,7 +69,7 @@
 // since the last time, or so long has passed that something may have become due.
 func (d *Decider) due(s state.State) bool {
 	now := d.Clock.Now()
-	basis := planBasis{topology: s.Topology(), version: s.Catalog.Version, holds: d.holds(s)}
+	basis := planBasis{topology: s.TopologyChangedAt(), version: s.Catalog.Version, holds: d.holds(s)}
 	if basis == d.basis && now.Sub(d.planned) < planPatience {
 		return false
 	}
@@ -78,7 +78,7 @@
 }
 
 func (d *Decider) holds(s state.State) bool {
-	return s.Holds(record.RolePools, d.Name, d.Incarnation)
+	return s.HoldsRole(record.RolePools, d.Name, d.Incarnation)
 }
 
 // planBasis is what a plan rests on.
@@ -124,10 +124,10 @@
 func (d *Decider) reboot(ctx context.Context, s state.State) {
 	now := d.Clock.Now()
 	for id, i := range s.OutOfService() {
-		if i.Phase != state.Rebooting || i.Worker.Boot > i.DrainBoot || i.Worker.Condition != fleet.Live {
+		if i.Phase != state.Rebooting || i.Worker.BootCount > i.BootCountAtReboot || i.Worker.Condition != fleet.Live {
 			continue
 		}
-		if i.Rebooter != d.Name || i.RebooterInc != d.Incarnation {
+		if i.Rebooter != d.Name || i.RebooterIncarnation != d.Incarnation {
 			continue
 		}
 		if !d.rebootDue(id, i.Version, now) {
--- a/services/pools/decider_test.go
+++ b/services/pools/decider_test.go
@@ -27,7 +27,7 @@
 	y.step()
 	y.maintain(100 * time.Hour)
 	y.now = y.now.Add(81 * time.Hour)
-	y.put(record.Record{Lease: &record.Lease{Role: record.RolePools, Life: time.Minute}})
+	y.put(record.Record{Lease: &record.Lease{Role: record.RolePools, TTL: time.Minute}})
 	y.step()
 	y.idle()
 	y.step()
--- a/services/pools/maintain.go
+++ b/services/pools/maintain.go
@@ -96,7 +96,7 @@
 func (p *planner) racksAtOnce(m *manifest.Maintenance, due []state.Instance) int {
 	racks := 1
 	for _, share := range hurryShares {
-		if len(due) > 0 && p.age(due[0]) >= m.PeriodShare(share) {
+		if len(due) > 0 && p.age(due[0]) >= m.PeriodFraction(share) {
 			racks *= 2
 		}
 	}
@@ -108,9 +108,9 @@
 // overdue.
 func (p *planner) wants(m *manifest.Maintenance, i state.Instance) bool {
 	if p.runsOn(i) > 0 {
-		return p.age(i) >= m.PeriodShare(lateShare)
+		return p.age(i) >= m.PeriodFraction(lateShare)
 	}
-	return p.age(i) >= m.PeriodShare(manifest.DueShare/2)
+	return p.age(i) >= m.PeriodFraction(manifest.DueFraction/2)
 }
 
 func (p *planner) age(i state.Instance) time.Duration { return p.now.Sub(i.MaintainedAt) }
@@ -119,7 +119,7 @@
 func (p *planner) due(m *manifest.Maintenance) []state.Instance {
 	var due []state.Instance
 	for _, i := range p.s.Instances.All() {
-		if i.Phase == state.InService && i.Worker.Condition == fleet.Live && p.age(i) >= m.PeriodShare(manifest.DueShare) {
+		if i.Phase == state.InService && i.Worker.Condition == fleet.Live && p.age(i) >= m.PeriodFraction(manifest.DueFraction) {
 			due = append(due, i)
 		}
 	}
@@ -140,7 +140,7 @@
 func (p *planner) nextRack(m *manifest.Maintenance, due []state.Instance, taken []rack) (at rack, ok bool) {
 	var blocked []state.Instance
 	for _, i := range due {
-		late := p.age(i) >= m.PeriodShare(lateShare)
+		late := p.age(i) >= m.PeriodFraction(lateShare)
 		err := p.mayDrain(i)
 		switch {
 		case slices.Contains(taken, rackOf(i)):
@@ -171,7 +171,7 @@
 			return errkind.New(errkind.Conflict, "job run %s may not be repeated and is left to finish", id)
 		}
 	}
-	return p.s.MayDrain(i)
+	return p.s.CheckDrain(i)
 }
 
 // maxLent is how many instances a pool is lent at most: a second one where the
--- a/services/pools/maintain_test.go
+++ b/services/pools/maintain_test.go
@@ -170,10 +170,10 @@
 	y.maintain(testPeriod)
 	y.now = y.now.Add(10 * time.Hour)
 	for n := range 4 { // r0
-		y.see(fmt.Sprintf("w%03d", n), func(w *fleet.Worker) { w.Boot++ })
+		y.see(fmt.Sprintf("w%03d", n), func(w *fleet.Worker) { w.BootCount++ })
 	}
 	y.now = y.now.Add(time.Hour)
-	y.see("w001", func(w *fleet.Worker) { w.Boot++ })
+	y.see("w001", func(w *fleet.Worker) { w.BootCount++ })
 	y.see("w007", func(w *fleet.Worker) { w.Condition = fleet.Gone })
 	assert.DeepEqual(t, Calendar(y.s, y.s.Catalog), []Due{
 		{Hall: "h1", Rack: "r1", Instances: 3, From: begin.Add(80 * time.Hour), By: begin.Add(100 * time.Hour)},
--- a/services/pools/plan.go
+++ b/services/pools/plan.go
@@ -63,7 +63,7 @@
 		preview.Moves = append(preview.Moves, m)
 	}
 	for _, q := range c.Pools() {
-		preview.Buffer += q.Size - q.Available
+		preview.Buffer += q.Size - q.MinAvailable
 	}
 	return preview
 }
--- a/services/pools/plan_test.go
+++ b/services/pools/plan_test.go
@@ -30,13 +30,13 @@
 func newYard(racks int, pools ...manifest.Pool) *yard {
 	y := &yard{now: begin}
 	y.put(record.Record{Join: &record.Join{}})
-	g := &record.Sighting{Revision: 1}
+	g := &record.ListUpdate{Revision: 1}
 	for i := range racks * 4 {
 		g.Workers = append(g.Workers, fleet.Worker{
-			ID: fmt.Sprintf("w%03d", i), Hall: fmt.Sprintf("h%d", i/4%3), Rack: fmt.Sprintf("r%d", i/4), Slots: 8, Condition: fleet.Live,
+			ID: fmt.Sprintf("w%03d", i), DataCenter: fmt.Sprintf("h%d", i/4%3), Rack: fmt.Sprintf("r%d", i/4), Slots: 8, Condition: fleet.Live,
 		})
 	}
-	y.put(record.Record{Sighting: g})
+	y.put(record.Record{ListUpdate: g})
 	y.apply(pools...)
 	return y
 }
@@ -87,11 +87,11 @@
 func (y *yard) see(id string, change func(*fleet.Worker)) {
 	i, _ := y.s.Instances.Get(id)
 	change(&i.Worker)
-	y.put(record.Record{Sighting: &record.Sighting{Revision: y.s.ListRevision + 1, Workers: []fleet.Worker{i.Worker}}})
+	y.put(record.Record{ListUpdate: &record.ListUpdate{Revision: y.s.ListRevision + 1, Workers: []fleet.Worker{i.Worker}}})
 }
 
 func pool(name string, size, available int) manifest.Pool {
-	return manifest.Pool{Name: name, Size: size, Available: available, Survive: manifest.DomainRack}
+	return manifest.Pool{Name: name, Size: size, MinAvailable: available, FailureDomain: manifest.DomainRack}
 }
 
 func TestPoolsAreSpreadOverRacks(t *testing.T) {
@@ -101,7 +101,7 @@
 	for _, name := range []string{"a", "b"} {
 		h := y.s.Headroom(y.s.Catalog.Pool(name))
 		assert.Equal(t, h.Serving, 6)
-		assert.Equal(t, h.Largest, 1, "pool %s has two in one rack", name)
+		assert.Equal(t, h.LargestDomain, 1, "pool %s has two in one rack", name)
 	}
 	assert.Equal(t, len(y.step().Records), 0, "a plan that is met moves nothing")
 }
@@ -164,7 +164,7 @@
 func (y *yard) reboot() {
 	for id, i := range y.s.Instances.All() {
 		if i.Phase == state.Rebooting {
-			y.see(id, func(w *fleet.Worker) { w.Boot++ })
+			y.see(id, func(w *fleet.Worker) { w.BootCount++ })
 		}
 	}
 }
@@ -231,7 +231,7 @@
 		y := newYard(racks, pools...)
 		assert.Equal(t, len(y.step().Shortages), 0)
 		for _, p := range y.s.Catalog.Pools() {
-			assert.Equal(t, y.s.Headroom(p).Largest, 1, "pool %s of %d in %d racks, with %+v", p.Name, p.Size, racks, pools)
+			assert.Equal(t, y.s.Headroom(p).LargestDomain, 1, "pool %s of %d in %d racks, with %+v", p.Name, p.Size, racks, pools)
 		}
 	}
 }
@@ -252,16 +252,16 @@
 		case "r4", "r5", "r6", "r7":
 			hall = "h2"
 		}
-		y.see(id, func(w *fleet.Worker) { w.Hall = hall })
+		y.see(id, func(w *fleet.Worker) { w.DataCenter = hall })
 	}
 	y.apply(pools...)
 	y.step()
 	for _, p := range y.s.Catalog.Pools() {
 		halls := make(map[string]int)
 		for _, i := range y.s.PoolInstances(p.Name) {
-			halls[i.Worker.Hall]++
-			assert.Assert(t, halls[i.Worker.Hall] <= 4, "pool %s: %v", p.Name, halls)
+			halls[i.Worker.DataCenter]++
+			assert.Assert(t, halls[i.Worker.DataCenter] <= 4, "pool %s: %v", p.Name, halls)
 		}
-		assert.Equal(t, y.s.Headroom(p).Largest, 1)
+		assert.Equal(t, y.s.Headroom(p).LargestDomain, 1)
 	}
 }
--- a/services/port/worker.go
+++ b/services/port/worker.go
@@ -73,7 +73,7 @@
 	Start       func(ctx context.Context, s Start) Response
 	Stop        func(ctx context.Context, s Stop) Response
 	SetCPUShare func(ctx context.Context, p CPUShare) Response
-	Poll        func(ctx context.Context, l Poll) (worker.Listing, Response)
+	Poll        func(ctx context.Context, l Poll) (worker.PollResult, Response)
 	Close       func()
 }
 
--- a/services/rollout/confirmation.go
+++ b/services/rollout/confirmation.go
@@ -19,13 +19,13 @@
 	group sync.WaitGroup
 
 	mu      sync.Mutex
-	mark    state.Mark
+	mark    state.Position
 	asked   map[string]bool
 	lagging []string
 }
 
 // begin asks the entries of the roster about a mark; it does not wait.
-func (c *confirmation) begin(ctx context.Context, m state.Mark) {
+func (c *confirmation) begin(ctx context.Context, m state.Position) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.mark = m
@@ -37,7 +37,7 @@
 	if c.asked == nil {
 		c.asked = map[string]bool{c.v.Name: true}
 	}
-	for _, entry := range c.v.State().Roster() {
+	for _, entry := range c.v.State().MemberNames() {
 		if c.asked[entry] {
 			continue
 		}
@@ -62,7 +62,7 @@
 type asking struct {
 	c     *confirmation
 	entry string
-	mark  state.Mark
+	mark  state.Position
 }
 
 func (a asking) run(ctx context.Context) {
--- a/services/rollout/rollout.go
+++ b/services/rollout/rollout.go
@@ -29,10 +29,10 @@
 	State func() state.State
 	// Propose puts a record on the log and returns its verdict; sent is told
 	// before the append which batch it is in, and must not block.
-	Propose func(ctx context.Context, r record.Record, sent func(state.Mark)) error
+	Propose func(ctx context.Context, r record.Record, sent func(state.Position)) error
 	// Reached waits for a while until an entry has folded the log up to a
 	// mark, and returns whether it has.
-	Reached func(ctx context.Context, entry string, m state.Mark) (bool, error)
+	Reached func(ctx context.Context, entry string, m state.Position) (bool, error)
 }
 
 // Request is a file to apply.
@@ -142,7 +142,7 @@
 	defer cancel()
 	c := &confirmation{v: v}
 	if len(p.apply.Put)+len(p.apply.Delete) == 0 {
-		c.begin(waiting, state.Mark{Offset: v.State().Catalog.Version})
+		c.begin(waiting, state.Position{Offset: v.State().Catalog.Version})
 	} else if err := v.propose(waiting, p.apply, c); err != nil {
 		return result, err
 	}
@@ -157,5 +157,5 @@
 func (v *Service) propose(ctx context.Context, change record.Apply, c *confirmation) error {
 	bounded, cancel := context.WithTimeout(ctx, logLimit)
 	defer cancel()
-	return v.Propose(bounded, record.Record{Apply: &change}, func(m state.Mark) { c.begin(ctx, m) })
+	return v.Propose(bounded, record.Record{Apply: &change}, func(m state.Position) { c.begin(ctx, m) })
 }
--- a/services/rollout/rollout_test.go
+++ b/services/rollout/rollout_test.go
@@ -32,11 +32,11 @@
 	r.Service = Service{
 		Name:  "a",
 		State: func() state.State { return r.s },
-		Propose: func(_ context.Context, c record.Record, sent func(state.Mark)) error {
-			sent(state.Mark{Writer: "a", Incarnation: 1, Sequence: 2})
+		Propose: func(_ context.Context, c record.Record, sent func(state.Position)) error {
+			sent(state.Position{Writer: "a", Incarnation: 1, Sequence: 2})
 			return r.fold("a", 2, c)
 		},
-		Reached: func(_ context.Context, entry string, m state.Mark) (bool, error) {
+		Reached: func(_ context.Context, entry string, m state.Position) (bool, error) {
 			r.asked <- entry
 			if m.Writer != "a" || m.Sequence != 2 {
 				return false, errkind.New(errkind.BadRequest, "asked about %+v", m)
@@ -73,8 +73,8 @@
 func TestEntriesAreAskedBeforeTheVerdict(t *testing.T) {
 	r := newRig("a", "b", "c")
 	propose := r.Propose
-	r.Propose = func(ctx context.Context, c record.Record, sent func(state.Mark)) error {
-		sent(state.Mark{Writer: "a", Incarnation: 1, Sequence: 2})
+	r.Propose = func(ctx context.Context, c record.Record, sent func(state.Position)) error {
+		sent(state.Position{Writer: "a", Incarnation: 1, Sequence: 2})
 		for range 2 {
 			select {
 			case <-r.asked:
@@ -82,7 +82,7 @@
 				return errkind.New(errkind.Internal, "nobody was asked meanwhile")
 			}
 		}
-		return propose(ctx, c, func(state.Mark) {})
+		return propose(ctx, c, func(state.Position) {})
 	}
 	result, err := r.Apply(context.Background(), aTeam(0))
 	assert.NilError(t, err)
@@ -102,7 +102,7 @@
 func TestEntryThatJoinsMeanwhileIsAsked(t *testing.T) {
 	r := newRig("a", "b")
 	propose := r.Propose
-	r.Propose = func(ctx context.Context, c record.Record, sent func(state.Mark)) error {
+	r.Propose = func(ctx context.Context, c record.Record, sent func(state.Position)) error {
 		err := propose(ctx, c, sent)
 		r.join("late")
 		return err
@@ -116,7 +116,7 @@
 func TestRejectedChangeIsNotInForce(t *testing.T) {
 	r := newRig("a", "b")
 	propose := r.Propose
-	r.Propose = func(ctx context.Context, c record.Record, sent func(state.Mark)) error {
+	r.Propose = func(ctx context.Context, c record.Record, sent func(state.Position)) error {
 		// Another operator's file for the same object is first in the log.
 		other := aTeam(0).File.Objects()
 		other[0].Team.QuotaCores = 1
--- a/services/scheduler/advice.go
+++ b/services/scheduler/advice.go
@@ -107,7 +107,7 @@
 	n := 0
 	for t := range s.tasks {
 		for _, u := range s.tasks[t].runs {
-			if s.spec.Lasting && u.at.leaves() {
+			if s.spec.LongRunning && u.at.leaves() {
 				n++
 			}
 		}
@@ -118,7 +118,7 @@
 // seats returns how many tasks of a step a worker has room for, by what is declared.
 func (s *stepState) seats(w *workerState) int {
 	room, n := w.room(), 0
-	for s.spec.Room().Times(n+1).Fits(room) && n < len(s.tasks) && (s.spec.PerWorker == 0 || n < s.spec.PerWorker-s.perHost[w]) {
+	for s.spec.Reservation().Times(n+1).FitsIn(room) && n < len(s.tasks) && (s.spec.MaxPerWorker == 0 || n < s.spec.MaxPerWorker-s.perHost[w]) {
 		n++
 	}
 	return n
@@ -126,7 +126,7 @@
 
 // soon reports whether a step's turn has come or comes before long.
 func (p *Pool) soon(r *roundState, step int, now time.Time) bool {
-	for _, a := range r.steps[step].spec.After {
+	for _, a := range r.steps[step].spec.DependsOn {
 		before := &r.steps[a]
 		if before.waiting > 0 {
 			return false
@@ -134,7 +134,7 @@
 		for t := range before.tasks {
 			for _, u := range before.tasks[t].runs {
 				left := p.expectStep(before.job, before) - now.Sub(u.began)
-				if u.phase != running || left > askAhead+before.job.queue.Advice.Decide {
+				if u.phase != running || left > askAhead+before.job.queue.Advice.CallTime {
 					return false
 				}
 			}
@@ -165,7 +165,7 @@
 		if !w.open(now) || s.admits(w, now) || s.barred[w.info.ID] {
 			continue
 		}
-		if s.spec.Label != "" && !w.info.Has(s.spec.Label) {
+		if s.spec.Label != "" && !w.info.HasLabel(s.spec.Label) {
 			continue
 		}
 		list = append(list, w)
@@ -195,7 +195,7 @@
 	for _, t := range tickets {
 		delete(s.barred, t.Worker)
 		if w := p.workers[t.Worker]; w != nil && valid != nil && slices.Contains(q.asked, w) {
-			w.tickets[s.ref] = ticket{t.Text, now.Add(valid.Valid)}
+			w.tickets[s.ref] = ticket{t.Text, now.Add(valid.TicketValidity)}
 		}
 	}
 	p.moved = true
--- a/services/scheduler/allowance.go
+++ b/services/scheduler/allowance.go
@@ -67,7 +67,7 @@
 // lets reports whether a customer's allowance bears one more start, or a gang's together.
 func (p *Pool) lets(customer string, size job.Size) bool {
 	limit := p.limitOf(customer)
-	if !quota.Limited(limit) {
+	if !quota.HasLimit(limit) {
 		return true
 	}
 	return !p.held(customer) && quota.Within(p.allowed.used[customer].Plus(size), p.allowed.set.For(customer, limit), limit)
@@ -146,10 +146,10 @@
 	}
 	for i := range next.Customers {
 		c := &next.Customers[i]
-		if !quota.Limited(c.Limit) {
+		if !quota.HasLimit(c.Limit) {
 			continue
 		}
-		if p.config == nil || quota.Lowered(p.limitOf(c.Name), c.Limit) {
+		if p.config == nil || quota.IsLowered(p.limitOf(c.Name), c.Limit) {
 			p.allowed.lowered[c.Name] = next.Version
 		}
 	}
@@ -164,10 +164,10 @@
 }
 
 // QuotaReport returns what the pool tells of its allowances to who has asked.
-func (p *Pool) QuotaReport(q quota.Question, now time.Time) quota.Statement {
-	s := quota.Statement{Owner: p.Token, Config: p.version(), Allowed: p.allowed.kept, Accounts: p.accounts(q, now)}
-	if s.Allowed.Epoch == q.Epoch {
-		s.Allowed.Of = nil
+func (p *Pool) QuotaReport(q quota.Query, now time.Time) quota.Report {
+	s := quota.Report{OwnerEpoch: p.Token, ConfigVersion: p.version(), Allowances: p.allowed.kept, Accounts: p.accounts(q, now)}
+	if s.Allowances.Epoch == q.Epoch {
+		s.Allowances.ByCustomer = nil
 	}
 	return s
 }
@@ -176,7 +176,7 @@
 // known. It returns the batch that carries the newest that lower something.
 func (p *Pool) SetAllowances(a quota.Allowances) uint64 {
 	last := p.allowed.set
-	if !last.Before(a) {
+	if !last.OlderThan(a) {
 		return p.allowed.reducedIn
 	}
 	p.allowed.set, p.allowed.changed, p.moved = a, true, true
@@ -184,20 +184,20 @@
 		p.allowed.reducedIn = p.batch
 	}
 	p.keptAllowances()
-	p.Logger.Info().Str("event", "allowance").Uint64("epoch", a.Epoch).Uint64("number", a.Number).Uint64("config", a.Version).Float64("part", a.Part).
-		Int("customers", len(a.Of)).Uint64("batch", p.batch).Str("outcome", "taken").Msg("the pool's allowances have changed")
+	p.Logger.Info().Str("event", "allowance").Uint64("epoch", a.Epoch).Uint64("number", a.Revision).Uint64("config", a.Version).Float64("part", a.DefaultFraction).
+		Int("customers", len(a.ByCustomer)).Uint64("batch", p.batch).Str("outcome", "taken").Msg("the pool's allowances have changed")
 	return p.allowed.reducedIn
 }
 
 // reduces reports whether something is lower in allowances than in earlier ones.
 func (p *Pool) reduces(before, now quota.Allowances) bool {
-	if now.Part < before.Part {
+	if now.DefaultFraction < before.DefaultFraction {
 		return true
 	}
-	for _, of := range []map[string]job.Size{before.Of, now.Of} {
+	for _, of := range []map[string]job.Size{before.ByCustomer, now.ByCustomer} {
 		for c := range of {
 			limit := p.limitOf(c)
-			if !before.For(c, limit).Fits(now.For(c, limit)) {
+			if !before.For(c, limit).FitsIn(now.For(c, limit)) {
 				return true
 			}
 		}
@@ -207,7 +207,7 @@
 
 // accounts returns the accounts of the customers that are asked for, that may not begin
 // anything, and that want much of their allowance.
-func (p *Pool) accounts(q quota.Question, now time.Time) map[string]quota.Account {
+func (p *Pool) accounts(q quota.Query, now time.Time) map[string]quota.Account {
 	if p.config == nil {
 		return nil
 	}
@@ -215,15 +215,15 @@
 	waiting := p.waitingByCustomer(now)
 	for i := range p.config.Customers {
 		c := &p.config.Customers[i]
-		if !quota.Limited(c.Limit) {
+		if !quota.HasLimit(c.Limit) {
 			continue
 		}
 		used, waits := p.allowed.used[c.Name], waiting[c.Name]
 		a := quota.Account{
-			Used: quota.Masked(used, c.Limit), Wants: quota.Masked(used.Plus(waits.all), c.Limit), Least: quota.Masked(waits.least, c.Limit),
-			Waits: p.atLimitFor(c.Name, now), Held: p.held(c.Name),
+			Used: quota.MaskUnlimited(used, c.Limit), Demand: quota.MaskUnlimited(used.Plus(waits.all), c.Limit), MinStart: quota.MaskUnlimited(waits.least, c.Limit),
+			WaitTime: p.atLimitFor(c.Name, now), Paused: p.held(c.Name),
 		}
-		if !a.Held && !slices.Contains(q.Accounts, c.Name) && quota.Within(a.Wants.Times(quota.Told), p.allowed.set.For(c.Name, c.Limit), c.Limit) {
+		if !a.Paused && !slices.Contains(q.Accounts, c.Name) && quota.Within(a.Demand.Times(quota.ReportFactor), p.allowed.set.For(c.Name, c.Limit), c.Limit) {
 			continue
 		}
 		if list == nil {
@@ -257,7 +257,7 @@
 	waiting := make(map[string]waits)
 	var list []candidate
 	for _, j := range p.active {
-		if !quota.Limited(p.limitOf(j.sub.Customer)) {
+		if !quota.HasLimit(p.limitOf(j.sub.Customer)) {
 			continue
 		}
 		for _, c := range p.stepsOf(j, now, list[:0]) {
--- a/services/scheduler/answers.go
+++ b/services/scheduler/answers.go
@@ -140,16 +140,16 @@
 }
 
 // end takes note of a run's end.
-func (p *Pool) end(u *run, e worker.End, now time.Time) {
+func (p *Pool) end(u *run, e worker.EndedRun, now time.Time) {
 	t, s := u.task(), u.step()
-	if e.Checkpoint != "" && s.spec.Checkpoints {
+	if e.Checkpoint != "" && s.spec.Checkpointing {
 		t.checkpoint = e.Checkpoint
 	}
 	p.Logger.Info().Str("event", "end").Str("task", u.name).Int("run", u.number).Str("worker", string(u.at.info.ID)).
-		Str("outcome", string(e.How)).Dur("took", u.age(now)).Int("sequence", e.Sequence).Msg("a run has ended")
+		Str("outcome", string(e.Reason)).Dur("took", u.age(now)).Int("sequence", e.Sequence).Msg("a run has ended")
 	p.began(u, now)
 	progressed := false
-	switch e.How {
+	switch e.Reason {
 	case worker.Done:
 		progressed = p.taskDone(u, now)
 	case worker.Failed:
@@ -166,7 +166,7 @@
 // may be gone before it has listed its own.
 func (p *Pool) taskDone(u *run, now time.Time) bool {
 	t, s := u.task(), u.step()
-	if t.done || s.spec.Lasting {
+	if t.done || s.spec.LongRunning {
 		return false
 	}
 	s.markWithGang(t)
@@ -208,7 +208,7 @@
 
 func (p *Pool) taskFailed(u *run, now time.Time) {
 	t, s := u.task(), u.step()
-	if s.spec.Lasting {
+	if s.spec.LongRunning {
 		t.notBefore = now.Add(lastingPause)
 		return
 	}
@@ -219,7 +219,7 @@
 // spendAttempt counts a failed run of a task, which may be its job's last.
 func (p *Pool) spendAttempt(j *jobState, t *taskState, name string, now time.Time) {
 	t.fails++
-	most := j.queue.Attempts
+	most := j.queue.MaxAttempts
 	if most > 0 && t.fails >= most && !j.state.Final() {
 		p.finish(j, job.Failed, now, "task "+name+" has failed as often as is allowed")
 	}
--- a/services/scheduler/arrival.go
+++ b/services/scheduler/arrival.go
@@ -119,14 +119,14 @@
 // arrive takes the work of a job that has come; one with times comes when each
 // of them is due.
 func (p *Pool) arrive(j *jobState, now time.Time) {
-	if j.sub.Times > 0 {
+	if j.sub.RepeatCount > 0 {
 		return
 	}
 	var work []stepWork
 	for i := range j.sub.Steps {
 		s := &j.sub.Steps[i]
-		if !s.Lasting && s.Label == "" {
-			work = append(work, stepWork{s.Room().Times(s.Count), p.expect(j.sub.Queue, s).Seconds()})
+		if !s.LongRunning && s.Label == "" {
+			work = append(work, stepWork{s.Reservation().Times(s.Count), p.expect(j.sub.Queue, s).Seconds()})
 		}
 	}
 	p.arrivals.add(now, work)
--- a/services/scheduler/clock_test.go
+++ b/services/scheduler/clock_test.go
@@ -48,7 +48,7 @@
 	d := newDesk(t, 1)
 	d.serve()
 	d.now = d.now.Add(2 * time.Second)
-	d.look("w", worker.Listing{}, port.Response{Result: port.Accepted, Clock: heard.Clock + time.Second})
+	d.look("w", worker.PollResult{}, port.Response{Result: port.Accepted, Clock: heard.Clock + time.Second})
 	d.submit("1", 1)
 	d.keep()
 	order, _ := d.NextOrder("w", d.now)
--- a/services/scheduler/cordon.go
+++ b/services/scheduler/cordon.go
@@ -24,11 +24,11 @@
 
 // CordonRequest is what the holder of the duty for instances asks of a pool.
 type CordonRequest struct {
-	Epoch    uint64           `json:"epoch"`              // of the holder
-	Number   uint64           `json:"number"`             // of the question within the epoch; a later one has a higher
-	Workers  []CordonedWorker `json:"workers,omitempty"`  // all that are to be cordoned
-	Ended    []worker.Life    `json:"over,omitempty"`     // workers whose lives were ended by an order
-	Accounts []string         `json:"accounts,omitempty"` // customers whose accounts are told, whatever they want
+	Epoch    uint64               `json:"epoch"`              // of the holder
+	Number   uint64               `json:"number"`             // of the question within the epoch; a later one has a higher
+	Workers  []CordonedWorker     `json:"workers,omitempty"`  // all that are to be cordoned
+	Ended    []worker.Incarnation `json:"over,omitempty"`     // workers whose lives were ended by an order
+	Accounts []string             `json:"accounts,omitempty"` // customers whose accounts are told, whatever they want
 }
 
 // before reports whether a question was asked before another one.
@@ -110,7 +110,7 @@
 	MinWorkers  int                 `json:"apart"`            // workers that a step needs since few of its tasks may be on one
 	Slack       time.Duration       `json:"slack"`            // that jobs have when they come, on the mean; 0 where none has come
 	Labels      map[string]job.Size `json:"labels,omitempty"` // of the tasks that need a label, by it; they count here only
-	Quota       quota.Statement     `json:"quota"`
+	Quota       quota.Report        `json:"quota"`
 }
 
 // WorkerReport is what a pool tells of one worker.
@@ -137,7 +137,7 @@
 			switch {
 			case u.stray:
 				continue
-			case u.step().spec.Lasting:
+			case u.step().spec.LongRunning:
 				o.Lasting++
 			case u.step().spec.Label == "":
 				r.Running = r.Running.Plus(u.room)
@@ -151,7 +151,7 @@
 	for _, j := range p.active {
 		p.needs(j, now, &r)
 	}
-	r.Quota = p.QuotaReport(quota.Question{Epoch: asked.Epoch, Accounts: asked.Accounts}, now)
+	r.Quota = p.QuotaReport(quota.Query{Epoch: asked.Epoch, Accounts: asked.Accounts}, now)
 	if p.stuck(now) {
 		r.MinWorkers = max(r.MinWorkers, p.openWorkers(now)+1)
 	}
@@ -217,24 +217,24 @@
 // needs adds what a job's open tasks need.
 func (p *Pool) needs(j *jobState, now time.Time, r *Report) {
 	for n := range j.rounds {
-		if j.rounds[n] == nil || j.rounds[n].left == 0 || j.sub.Times > 0 && now.Before(p.due(j, n)) {
+		if j.rounds[n] == nil || j.rounds[n].left == 0 || j.sub.RepeatCount > 0 && now.Before(p.due(j, n)) {
 			continue
 		}
 		for i := range j.rounds[n].steps {
 			s := &j.rounds[n].steps[i]
-			room := s.spec.Room()
-			if s.waiting > 0 && s.spec.Label == "" && (s.spec.Lasting && !p.elsewhere(s, now) || p.barredEverywhere(s, now)) {
+			room := s.spec.Reservation()
+			if s.waiting > 0 && s.spec.Label == "" && (s.spec.LongRunning && !p.elsewhere(s, now) || p.barredEverywhere(s, now)) {
 				r.MinWorkers = max(r.MinWorkers, p.openWorkers(now)+1) // another may suit it
 			}
-			if s.spec.PerWorker > 0 && (s.spec.Lasting || s.waiting > 0) {
-				r.MinWorkers = max(r.MinWorkers, (len(s.tasks)-s.done+s.spec.PerWorker-1)/s.spec.PerWorker)
+			if s.spec.MaxPerWorker > 0 && (s.spec.LongRunning || s.waiting > 0) {
+				r.MinWorkers = max(r.MinWorkers, (len(s.tasks)-s.done+s.spec.MaxPerWorker-1)/s.spec.MaxPerWorker)
 			}
 			switch {
 			case s.spec.Label != "":
 				if s.waiting > 0 && j.rounds[n].ready(i) {
 					r.label(s.spec.Label, room.Times(s.waiting).Scale(p.pressure(j, s, now)))
 				}
-			case s.spec.Lasting:
+			case s.spec.LongRunning:
 				r.Lasting = r.Lasting.Plus(room.Times(len(s.tasks)))
 			case s.waiting > 0 && j.rounds[n].ready(i):
 				waiting := room.Times(s.waiting)
@@ -280,13 +280,13 @@
 func (p *Pool) leaveAll(w *workerState, now time.Time) {
 	here := make(map[*stepState]int)
 	for _, u := range w.runs {
-		if u.stray || u.stopping || !u.step().spec.Lasting || u.phase != running {
+		if u.stray || u.stopping || !u.step().spec.LongRunning || u.phase != running {
 			return
 		}
 		here[u.step()]++
 	}
 	for s, n := range here {
-		if s.away(nil)+n > max(s.spec.MayMiss, 1) {
+		if s.away(nil)+n > max(s.spec.MaxUnavailable, 1) {
 			return
 		}
 	}
@@ -305,11 +305,11 @@
 	}
 	s := u.step()
 	switch {
-	case s.spec.Lasting:
+	case s.spec.LongRunning:
 		if w.info.Draining && !w.cordoned || p.mayMiss(s) && p.elsewhere(s, now) {
 			p.stop(u, now, "its worker is to be left")
 		}
-	case s.spec.Checkpoints && !s.spec.Gang:
+	case s.spec.Checkpointing && !s.spec.Gang:
 		left := p.expectStep(u.job, s) - now.Sub(u.began)
 		if left > p.Limits.StopTime+moveWorth {
 			p.stop(u, now, "its worker is to be left, and it can go on elsewhere")
@@ -330,7 +330,7 @@
 // mayMiss reports whether one more task of a step that lasts may be away by our
 // doing.
 func (p *Pool) mayMiss(s *stepState) bool {
-	return s.away(nil) < max(s.spec.MayMiss, 1)
+	return s.away(nil) < max(s.spec.MaxUnavailable, 1)
 }
 
 // away returns how many tasks of a step that lasts are not known to be at work, without
--- a/services/scheduler/cordon_test.go
+++ b/services/scheduler/cordon_test.go
@@ -19,9 +19,9 @@
 func TestStuckMaintenanceAsksForAWorker(t *testing.T) {
 	d := newDesk(t, 1)
 	d.serve()
-	d.Submit(job.Submission{ID: "1", Queue: "h/q/", Steps: []job.Step{{Count: 2, Size: job.Size{CPU: 1000}, Lasting: true, MayMiss: 1}}}, d.now)
+	d.Submit(job.Submission{ID: "1", Queue: "h/q/", Steps: []job.Step{{Count: 2, Size: job.Size{CPU: 1000}, LongRunning: true, MaxUnavailable: 1}}}, d.now)
 	d.keep()
-	d.look("w", worker.Listing{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1, Percent: 100}, {Task: "1.0.0.1", Number: 1, Percent: 100}}}, heard)
+	d.look("w", worker.PollResult{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1, Percent: 100}, {Task: "1.0.0.1", Number: 1, Percent: 100}}}, heard)
 	cordon(d, CordonRequest{Workers: []CordonedWorker{{ID: "w", MaintenanceRequired: true}}})
 	d.keep()
 	before := d.Report(CordonRequest{}, d.now).MinWorkers
--- a/services/scheduler/crash.go
+++ b/services/scheduler/crash.go
@@ -54,7 +54,7 @@
 
 // crash is a worker that has crashed under a task, as far as is known.
 type crash struct {
-	worker worker.Life
+	worker worker.Incarnation
 	weight float64 // how likely the task was the cause, of 1: a share of what had just begun; 0 for one that had not
 	sure   bool    // the instance has another life; else its worker was silent until its leases were over
 }
@@ -119,7 +119,7 @@
 // provenBy reports whether a run of a task that lasts had been at work for so long that
 // it is not held to crash its worker.
 func (u *run) provenBy(at time.Time) bool {
-	return u.step().spec.Lasting && u.percent >= fullPace && !u.began.IsZero() && at.Sub(u.began) >= provenTime
+	return u.step().spec.LongRunning && u.percent >= fullPace && !u.began.IsZero() && at.Sub(u.began) >= provenTime
 }
 
 // blame holds a crash against the tasks of a worker, and gives up those that have
@@ -181,7 +181,7 @@
 	p.blamed[life] = append(p.blamed[life], s.run.ref)
 	p.crashesChange(s.run.ref)
 	p.count(crashSuspected)
-	p.Logger.Info().Str("event", "crash").Str("task", s.run.name).Int("run", s.run.number).Str("worker", string(life.ID)).Int64("born", life.Born).
+	p.Logger.Info().Str("event", "crash").Str("task", s.run.name).Int("run", s.run.number).Str("worker", string(life.ID)).Int64("born", life.StartedAt).
 		Int("crashes", len(t.crashes)).Float64("weight", t.weigh()).Bool("fresh", s.fresh).Int("all_fresh", e.fresh).Int("all", e.runs).
 		Bool("sure", c.sure).Int("together", e.together).Msg("a worker has crashed under a task")
 	return true
@@ -196,7 +196,7 @@
 	}
 	n := 1
 	near := func(o time.Time) bool { return o.Sub(at).Abs() < togetherTime }
-	maps.DeleteFunc(p.downs, func(_ worker.Life, o time.Time) bool { return now.Sub(o) > downsKept })
+	maps.DeleteFunc(p.downs, func(_ worker.Incarnation, o time.Time) bool { return now.Sub(o) > downsKept })
 	for life, o := range p.downs {
 		if life != w.life() && near(o) {
 			n++
@@ -234,7 +234,7 @@
 }
 
 // crashedOn reports whether a crash is held against a task.
-func (t *taskState) crashedOn(life worker.Life) bool {
+func (t *taskState) crashedOn(life worker.Incarnation) bool {
 	return slices.ContainsFunc(t.crashes, func(c crash) bool { return c.worker == life })
 }
 
@@ -244,20 +244,20 @@
 }
 
 // acquit takes a worker's crash back: it has answered, so it was only cut off.
-func (p *Pool) acquit(life worker.Life) {
+func (p *Pool) acquit(life worker.Incarnation) {
 	p.takeBack(life, func(crash) bool { return true }, "its worker answers")
 	delete(p.blamed, life)
 }
 
 // takeBack takes a worker's crash back from the tasks it is held against, where allowed.
-func (p *Pool) takeBack(life worker.Life, allowed func(crash) bool, why string) {
+func (p *Pool) takeBack(life worker.Incarnation, allowed func(crash) bool, why string) {
 	for _, ref := range p.blamed[life] {
 		p.takeBackOf(life, ref, allowed, why)
 	}
 }
 
 // takeBackOf takes a worker's crash back from one task, where it is held against that and allowed.
-func (p *Pool) takeBackOf(life worker.Life, ref job.TaskRef, allowed func(crash) bool, why string) {
+func (p *Pool) takeBackOf(life worker.Incarnation, ref job.TaskRef, allowed func(crash) bool, why string) {
 	_, t := p.open(ref)
 	if t == nil {
 		return
@@ -268,13 +268,13 @@
 		return
 	}
 	p.crashesChange(ref)
-	p.Logger.Info().Str("event", "crash").Str("task", ref.String()).Str("worker", string(life.ID)).Int64("born", life.Born).Int("crashes", len(t.crashes)).
+	p.Logger.Info().Str("event", "crash").Str("task", ref.String()).Str("worker", string(life.ID)).Int64("born", life.StartedAt).Int("crashes", len(t.crashes)).
 		Str("outcome", "taken back").Str("why", why).Msg("a crash is not held against a task any more")
 }
 
 // confirm takes the news that a worker which was silent until its leases were over has
 // crashed: its instance has another life, or it has started again.
-func (p *Pool) confirm(life worker.Life) {
+func (p *Pool) confirm(life worker.Incarnation) {
 	for _, ref := range p.blamed[life] {
 		_, t := p.open(ref)
 		if t == nil {
--- a/services/scheduler/crash_test.go
+++ b/services/scheduler/crash_test.go
@@ -23,7 +23,7 @@
 	d.t.Helper()
 	id := worker.ID(fmt.Sprintf("%s-%d", instance, n))
 	d.UpdateWorker(worker.Worker{ID: id, Instance: instance, Pool: "p", Address: instance, Capacity: job.Size{CPU: 4000, MemoryMB: 4000}})
-	d.look(id, worker.Listing{}, heard)
+	d.look(id, worker.PollResult{}, heard)
 	return id
 }
 
@@ -50,13 +50,13 @@
 func (d *desk) crash(id worker.ID) {
 	d.t.Helper()
 	d.now = d.now.Add(3 * time.Second)
-	d.look(id, worker.Listing{}, otherLife)
+	d.look(id, worker.PollResult{}, otherLife)
 }
 
 // cutOff has a worker silent until its leases are over.
 func (d *desk) cutOff(id worker.ID) {
 	d.t.Helper()
-	d.look(id, worker.Listing{}, port.Response{Result: port.Unknown})
+	d.look(id, worker.PollResult{}, port.Response{Result: port.Unknown})
 	d.now = d.now.Add(10 * time.Second)
 	d.ExpireLeases(d.now)
 }
@@ -153,10 +153,10 @@
 	ends := map[string]func(d *desk, id worker.ID){
 		"cut off": func(d *desk, id worker.ID) {
 			d.cutOff(id)
-			d.look(id, worker.Listing{}, heard)
-			d.EndIncarnations([]worker.Life{{ID: id}}, d.now) // so that the next turn is another's
+			d.look(id, worker.PollResult{}, heard)
+			d.EndIncarnations([]worker.Incarnation{{ID: id}}, d.now) // so that the next turn is another's
 		},
-		"order": func(d *desk, id worker.ID) { d.EndIncarnations([]worker.Life{{ID: id}}, d.now) },
+		"order": func(d *desk, id worker.ID) { d.EndIncarnations([]worker.Incarnation{{ID: id}}, d.now) },
 		"drains": func(d *desk, id worker.ID) {
 			leaving, _ := d.Worker(id)
 			leaving.Draining = true
@@ -165,7 +165,7 @@
 		},
 		"leaves": func(d *desk, id worker.ID) {
 			d.UnlistWorker(id)
-			d.look(id, worker.Listing{Runs: []worker.Run{{Task: "1.0.0.0", Number: d.firstTask("1").number}}}, heard)
+			d.look(id, worker.PollResult{Runs: []worker.Run{{Task: "1.0.0.0", Number: d.firstTask("1").number}}}, heard)
 			d.crash(id)
 		},
 	}
@@ -194,7 +194,7 @@
 	crashes := func() []crash { return d.firstTask("1").crashes }
 	assert.Equal(t, len(crashes()), 1)
 	assert.Equal(t, crashes()[0].sure, false)
-	d.look(a, worker.Listing{}, otherLife)
+	d.look(a, worker.PollResult{}, otherLife)
 	assert.Equal(t, len(crashes()), 1)
 	assert.Equal(t, crashes()[0].sure, true)
 }
@@ -231,7 +231,7 @@
 				name = task
 			}
 		}
-		d.look(id, worker.Listing{Runs: []worker.Run{{Task: name, Number: 2}}}, heard)
+		d.look(id, worker.PollResult{Runs: []worker.Run{{Task: name, Number: 2}}}, heard)
 	}
 	d.moved = true
 	d.keep()
@@ -243,10 +243,10 @@
 // until its caller cancels it.
 func TestWhatServesOnAsAJobFails(t *testing.T) {
 	d := newDesk(t, 1)
-	d.Submit(job.Submission{ID: "1", Queue: "h/q/", Steps: []job.Step{{Count: 2, Size: job.Size{CPU: 1000}, Lasting: true, MayMiss: 1, PerWorker: 1}}}, d.now)
+	d.Submit(job.Submission{ID: "1", Queue: "h/q/", Steps: []job.Step{{Count: 2, Size: job.Size{CPU: 1000}, LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 1}}}, d.now)
 	a := d.life("a", 1)
 	d.beginAll(a)
-	d.look(a, worker.Listing{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1, Percent: fullPace}}}, heard)
+	d.look(a, worker.PollResult{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1, Percent: fullPace}}}, heard)
 	for n := range 2 {
 		b := d.life("b", n)
 		assert.DeepEqual(t, d.beginAll(b), []string{"1.0.0.1"})
@@ -267,7 +267,7 @@
 func TestAFailedJobIsForgotten(t *testing.T) {
 	d := newDesk(t, 1)
 	d.Limits.StopTime = 0
-	d.Submit(job.Submission{ID: "1", Queue: "h/q/", Steps: []job.Step{{Count: 1, Size: job.Size{CPU: 1000}, Lasting: true, MayMiss: 1}}}, d.now)
+	d.Submit(job.Submission{ID: "1", Queue: "h/q/", Steps: []job.Step{{Count: 1, Size: job.Size{CPU: 1000}, LongRunning: true, MaxUnavailable: 1}}}, d.now)
 	a := d.life("a", 1)
 	d.beginAll(a)
 	d.finish(d.jobs["1"], job.Failed, d.now, "test")
@@ -275,7 +275,7 @@
 	d.keep()
 	_, stops := d.orders(a)
 	assert.Equal(t, stops, 1)
-	d.look(a, worker.Listing{Ends: []worker.End{{Sequence: 1, Task: "1.0.0.0", Number: 1, How: worker.Stopped}}}, heard)
+	d.look(a, worker.PollResult{Ends: []worker.EndedRun{{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: worker.Stopped}}}, heard)
 	d.now = d.now.Add(time.Second)
 	d.keep()
 	assert.Equal(t, d.Has("1"), false)
@@ -381,7 +381,7 @@
 	d.answer(2000)
 	x := d.life("x", 1)
 	d.now = d.now.Add(time.Second)
-	d.look("w", worker.Listing{Born: 2000}, heard)
+	d.look("w", worker.PollResult{StartedAt: 2000}, heard)
 	d.keep()
 	assert.Equal(t, d.firstTask("1").runs[0].at.info.ID, x)
 }
--- a/services/scheduler/expiry.go
+++ b/services/scheduler/expiry.go
@@ -160,8 +160,8 @@
 		return false
 	}
 	s := u.step()
-	if !s.spec.Lasting || u.phase != running || u.percent < fullPace {
+	if !s.spec.LongRunning || u.phase != running || u.percent < fullPace {
 		return false
 	}
-	return s.away(u.task()) >= max(s.spec.MayMiss, 1)
+	return s.away(u.task()) >= max(s.spec.MaxUnavailable, 1)
 }
--- a/services/scheduler/fair_test.go
+++ b/services/scheduler/fair_test.go
@@ -36,9 +36,9 @@
 	for i := range customers {
 		list = append(list, config.Customer{Name: fmt.Sprint("c", i), Limit: job.Size{CPU: 1 << 30}})
 	}
-	queues := []config.Queue{{Name: "q", Host: "h", PathPrefix: "/", Pool: "p", Stretch: 2, Target: time.Hour}}
+	queues := []config.Queue{{Name: "q", Host: "h", PathPrefix: "/", Pool: "p", Stretch: 2, BaseObjective: time.Hour}}
 	p.Configure(config.New(1, queues, []config.Pool{{Name: "p"}}, config.Limits{}).WithCustomers(list))
-	p.allowed.set.Version, p.allowed.set.Part = 1, 1
+	p.allowed.set.Version, p.allowed.set.DefaultFraction = 1, 1
 	now := time.Unix(1000, 0)
 	for i := range 40 {
 		w := p.addWorker(worker.Worker{ID: worker.ID(fmt.Sprint("w", i)), Capacity: job.Size{CPU: 16000, MemoryMB: 64000}})
--- a/services/scheduler/gang_test.go
+++ b/services/scheduler/gang_test.go
@@ -20,7 +20,7 @@
 	d := newDesk(t, 1)
 	for _, id := range []worker.ID{"a", "b"} {
 		d.UpdateWorker(worker.Worker{ID: id, Instance: string(id), Pool: "p", Address: string(id), Capacity: job.Size{CPU: 1000, MemoryMB: 4000}})
-		d.look(id, worker.Listing{}, heard)
+		d.look(id, worker.PollResult{}, heard)
 	}
 	d.Submit(job.Submission{ID: "1", Queue: "h/q/", Steps: []job.Step{
 		{Count: 2, Size: job.Size{CPU: 1000}, Estimate: time.Minute, Gang: true},
@@ -103,7 +103,7 @@
 func TestGangOfWhichAWorkerFallsSilent(t *testing.T) {
 	d := gangOnTwo(t)
 	assert.Equal(t, d.begin("a"), 1)
-	d.look("b", worker.Listing{}, port.Response{Result: port.Unknown})
+	d.look("b", worker.PollResult{}, port.Response{Result: port.Unknown})
 	assert.Equal(t, d.begin("b"), 0)
 	d.keep()
 	assert.Assert(t, !d.goesOn("a"), "a member of a gang waits for one that was given up")
