--- a/services/scheduler/job.go
+++ b/services/scheduler/job.go
@@ -77,7 +77,7 @@
 
 // ready reports whether the steps that a step follows are done.
 func (r *roundState) ready(step int) bool {
-	for _, a := range r.steps[step].spec.After {
+	for _, a := range r.steps[step].spec.DependsOn {
 		if r.steps[a].done < len(r.steps[a].tasks) {
 			return false
 		}
@@ -169,13 +169,13 @@
 	p.active = append(p.active, j)
 	p.weigh(j)
 	p.arrive(j, now)
-	if !s.Lasts() && s.Times == 0 {
+	if !s.HasLongRunning() && s.RepeatCount == 0 {
 		p.slack.add(j.latest.Sub(now).Seconds())
 	}
 	p.touch(j)
 	p.moved = true
 	p.Logger.Info().Str("event", "submit").Str("job", string(s.ID)).Str("queue", s.Queue).Int("steps", len(s.Steps)).
-		Str("kinds", s.Kinds()).Str("customer", s.Customer).Uint64("config", p.version()).Uint64("batch", p.batch).Dur("aim", j.aim).Str("outcome", "taken").Msg("a job was taken")
+		Str("kinds", s.Features()).Str("customer", s.Customer).Uint64("config", p.version()).Uint64("batch", p.batch).Dur("aim", j.aim).Str("outcome", "taken").Msg("a job was taken")
 	return p.batch
 }
 
@@ -186,7 +186,7 @@
 	if j == nil {
 		return errkind.New(errkind.Gone, "no job %s", id)
 	}
-	if !j.sub.May(by) {
+	if !j.sub.AccessibleBy(by) {
 		return errkind.New(errkind.Forbidden, "job %s is another customer's than %q", id, by)
 	}
 	return nil
@@ -291,7 +291,7 @@
 // it or it is forgotten: the failed one is away for good, so none may be ended beside it.
 func (u *run) servesOn() bool {
 	s := u.step().spec
-	return s.Lasting && s.MayMiss > 0 && u.phase == running
+	return s.LongRunning && s.MaxUnavailable > 0 && u.phase == running
 }
 
 // forget drops the ended jobs that were told of for long enough.
@@ -357,17 +357,17 @@
 		stretch = 1
 	}
 	whole, left, work := p.chain(j)
-	j.aim = time.Duration(stretch*float64(whole)) + j.queue.Target
+	j.aim = time.Duration(stretch*float64(whole)) + j.queue.BaseObjective
 	j.work = work
 	begin := j.accepted
-	if j.sub.Times > 0 {
+	if j.sub.RepeatCount > 0 {
 		begin = p.due(j, p.firstOpen(j))
 	}
 	j.latest = begin.Add(j.aim - left - stepTime)
 }
 
 // due returns when a time of a job is due.
-func (p *Pool) due(j *jobState, round int) time.Time { return p.Clock.At(j.sub.Due(round)) }
+func (p *Pool) due(j *jobState, round int) time.Time { return p.Clock.At(j.sub.DueAt(round)) }
 
 // stepTime is what passes beside a step's work until its end is told: its run is kept,
 // ordered, found ended and that is kept, each in some ten milliseconds, and its time is
@@ -394,14 +394,14 @@
 	round := j.rounds[p.firstOpen(j)]
 	for i := range j.sub.Steps {
 		s := &j.sub.Steps[i]
-		if s.Lasting {
+		if s.LongRunning {
 			continue
 		}
 		each := p.expect(j.sub.Queue, s)
 		if round != nil {
 			each = p.expectStep(j, &round.steps[i])
 		}
-		for _, a := range s.After {
+		for _, a := range s.DependsOn {
 			wholes[i] = max(wholes[i], wholes[a])
 			lefts[i] = max(lefts[i], lefts[a])
 		}
--- a/services/scheduler/lateend.go
+++ b/services/scheduler/lateend.go
@@ -15,20 +15,20 @@
 // its worker had not answered for longer than the lease. The end is taken note of like
 // every other, so that it counts: a task that is done must not begin again, and one that
 // has failed has used an attempt.
-func (p *Pool) lateEnd(w *workerState, e worker.End, now time.Time) {
+func (p *Pool) lateEnd(w *workerState, e worker.EndedRun, now time.Time) {
 	ref, err := job.ParseTask(e.Task)
 	if err != nil {
 		return // another's: no task of ours has such a name
 	}
 	s, t := p.open(ref)
-	if t == nil || t.done || s.spec.Lasting || e.Number > t.number {
+	if t == nil || t.done || s.spec.LongRunning || e.Number > t.number {
 		return
 	}
 	at := slices.Index(t.lost, e.Number)
 	switch {
-	case e.How == worker.Done:
+	case e.Reason == worker.Done:
 		p.doneLate(s, t, now)
-	case e.How == worker.Failed && at >= 0: // others were counted by an earlier owner
+	case e.Reason == worker.Failed && at >= 0: // others were counted by an earlier owner
 		p.spendAttempt(s.job, t, e.Task, now)
 	default:
 		return
@@ -38,7 +38,7 @@
 	}
 	p.touch(s.job)
 	p.Logger.Info().Str("event", "end").Str("task", e.Task).Int("run", e.Number).Str("worker", string(w.info.ID)).
-		Str("outcome", string(e.How)).Int("sequence", e.Sequence).Bool("late", true).Msg("a run that was taken for lost has ended before")
+		Str("outcome", string(e.Reason)).Int("sequence", e.Sequence).Bool("late", true).Msg("a run that was taken for lost has ended before")
 }
 
 // doneLate notes that a task is done, and ends its later runs.
--- a/services/scheduler/lateend_test.go
+++ b/services/scheduler/lateend_test.go
@@ -25,7 +25,7 @@
 	assert.Assert(t, has)
 	d.StartOrder(order, d.now)
 	d.HandleOrderResponse(order, heard, d.now)
-	d.look("w", worker.Listing{}, port.Response{Result: port.Unknown})
+	d.look("w", worker.PollResult{}, port.Response{Result: port.Unknown})
 	d.now = d.now.Add(10 * time.Second)
 	d.ExpireLeases(d.now)
 	assert.Equal(t, d.waitingTasks("1"), 1)
@@ -33,8 +33,8 @@
 }
 
 // ended is a look that tells how run 1 of the task has ended.
-func (d *desk) ended(how worker.How) {
-	d.look("w", worker.Listing{Ends: []worker.End{{Sequence: 1, Task: "1.0.0.0", Number: 1, How: how}}}, heard)
+func (d *desk) ended(how worker.EndReason) {
+	d.look("w", worker.PollResult{Ends: []worker.EndedRun{{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: how}}}, heard)
 }
 
 // TestALostRunThatWasDone: its worker did not answer for longer than the lease, over a
@@ -56,7 +56,7 @@
 func TestALostRunThatWasDoneWhileAnotherIsPlanned(t *testing.T) {
 	d := lostOne(t)
 	d.UpdateWorker(worker.Worker{ID: "v", Instance: "j", Pool: "p", Address: "b", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}})
-	d.look("v", worker.Listing{}, heard)
+	d.look("v", worker.PollResult{}, heard)
 	d.keep() // run 2 is kept, and its order waits
 	d.ended(worker.Done)
 	d.keep()
@@ -68,7 +68,7 @@
 // TestALostRunThatFailed counts among the attempts of its task, once.
 func TestALostRunThatFailed(t *testing.T) {
 	d := lostOne(t)
-	d.jobs["1"].queue.Attempts = 1
+	d.jobs["1"].queue.MaxAttempts = 1
 	d.ended(worker.Failed)
 	d.ended(worker.Failed)
 	d.keep()
@@ -85,6 +85,6 @@
 	d.serve()
 	d.submit("1", 1)
 	d.keep()
-	d.look("w", worker.Listing{Ends: []worker.End{{Sequence: 1, Task: "1.0.0.0", Number: 7, How: worker.Failed}}}, heard)
+	d.look("w", worker.PollResult{Ends: []worker.EndedRun{{Sequence: 1, Task: "1.0.0.0", Number: 7, Reason: worker.Failed}}}, heard)
 	assert.Equal(t, d.firstTask("1").fails, 0)
 }
--- a/services/scheduler/leave_test.go
+++ b/services/scheduler/leave_test.go
@@ -20,10 +20,10 @@
 	d := newDesk(t, 1)
 	for _, id := range []worker.ID{"a", "b", "c"} {
 		d.UpdateWorker(worker.Worker{ID: id, Instance: string(id), Pool: "p", Address: string(id), Capacity: job.Size{CPU: 1000, MemoryMB: 4000}})
-		d.look(id, worker.Listing{}, heard)
+		d.look(id, worker.PollResult{}, heard)
 	}
 	d.Submit(job.Submission{ID: "1", Queue: "h/q/", Steps: []job.Step{
-		{Count: 2, Size: job.Size{CPU: 1000}, Estimate: time.Minute, Lasting: true, MayMiss: 1},
+		{Count: 2, Size: job.Size{CPU: 1000}, Estimate: time.Minute, LongRunning: true, MaxUnavailable: 1},
 	}}, d.now)
 	d.keep()
 	for _, id := range []worker.ID{"a", "b", "c"} {
@@ -36,7 +36,7 @@
 func (d *desk) atWork(id worker.ID) {
 	d.t.Helper()
 	d.begin(id)
-	var listing worker.Listing
+	var listing worker.PollResult
 	for name, u := range d.workers[id].runs {
 		listing.Runs = append(listing.Runs, worker.Run{Task: name, Number: u.number, Percent: fullPace})
 	}
@@ -84,7 +84,7 @@
 	order, has = d.NextOrder(other, d.now)
 	assert.Assert(t, has && order.Stop)
 	d.HandleOrderResponse(order, heard, d.now)
-	ended := worker.Listing{Ends: []worker.End{{Sequence: 1, Task: order.Run.name, Number: 1, How: worker.Stopped}}}
+	ended := worker.PollResult{Ends: []worker.EndedRun{{Sequence: 1, Task: order.Run.name, Number: 1, Reason: worker.Stopped}}}
 	d.look(other, ended, heard)
 	d.keep()
 	_, has = d.NextOrder("a", d.now)
--- a/services/scheduler/look.go
+++ b/services/scheduler/look.go
@@ -50,16 +50,16 @@
 }
 
 // EndPoll takes the answer to a look.
-func (p *Pool) EndPoll(k Poll, listing worker.Listing, a port.Response, now time.Time) {
+func (p *Pool) EndPoll(k Poll, listing worker.PollResult, a port.Response, now time.Time) {
 	w := k.worker
 	if p.workers[w.info.ID] != w {
 		return
 	}
 	w.looked = now
-	if a.Result == port.Accepted && w.born > 0 && listing.Born == 0 {
+	if a.Result == port.Accepted && w.born > 0 && listing.StartedAt == 0 {
 		a = port.Response{Result: port.Unknown, Err: errkind.New(errkind.OutcomeUnknown, "a list of runs without the start of its worker")}
 	}
-	if a.Result == port.Accepted && w.born > 0 && listing.Born != w.born {
+	if a.Result == port.Accepted && w.born > 0 && listing.StartedAt != w.born {
 		if w = p.restarted(w, k, listing, now); w == nil {
 			return
 		}
@@ -100,7 +100,7 @@
 	}
 	p.proven(w)
 	if !w.met {
-		p.meet(w, listing.Born)
+		p.meet(w, listing.StartedAt)
 	}
 	p.acquit(w.life())
 	w.listedAt = now
@@ -153,7 +153,7 @@
 }
 
 // list takes what a worker runs and what has ended there.
-func (p *Pool) list(w *workerState, k Poll, listing worker.Listing, now time.Time) {
+func (p *Pool) list(w *workerState, k Poll, listing worker.PollResult, now time.Time) {
 	for _, e := range listing.Ends {
 		if e.Sequence <= w.seen {
 			continue
@@ -263,7 +263,7 @@
 	if t == nil {
 		return
 	}
-	w.strays = w.strays.Plus(s.spec.Room())
+	w.strays = w.strays.Plus(s.spec.Reservation())
 	w.strayUses = append(w.strayUses, strayUse{s.job.sub.Customer, s.spec.Size})
 	p.allowed.count(s.job.sub.Customer, s.spec.Size)
 	t.notBefore = now.Add(p.Limits.StopTime + lookRetry)
--- a/services/scheduler/orders.go
+++ b/services/scheduler/orders.go
@@ -148,7 +148,7 @@
 func (p *Pool) lookWait(w *workerState) time.Duration {
 	wait := waitLong
 	for _, u := range w.runs {
-		if s := u.step().spec; !s.Lasting || s.Target > 0 {
+		if s := u.step().spec; !s.LongRunning || s.LatencyObjective > 0 {
 			wait = waitShort
 			break
 		}
--- a/services/scheduler/overload.go
+++ b/services/scheduler/overload.go
@@ -85,7 +85,7 @@
 // comesFirst reports whether an overloaded pool does a job before one that comes now: it can
 // be in time, or has begun and is of use yet.
 func (j *jobState) comesFirst(now time.Time) bool {
-	if j.state.Final() || j.sub.Times > 0 {
+	if j.state.Final() || j.sub.RepeatCount > 0 {
 		return false
 	}
 	return !now.After(j.latest) || j.began && !now.After(j.lastChance())
@@ -95,7 +95,7 @@
 // and still be in time, 0 where it may be taken. Only an overloaded pool is full: what waits
 // in a rush is done by instances that are yet to come.
 func (p *Pool) ExcessWait(s job.Submission, now time.Time) time.Duration {
-	if !p.overloaded || p.Has(s.ID) || s.Lasts() || s.Times > 0 {
+	if !p.overloaded || p.Has(s.ID) || s.HasLongRunning() || s.RepeatCount > 0 {
 		return 0
 	}
 	j := p.newJob(s, now)
--- a/services/scheduler/plan.go
+++ b/services/scheduler/plan.go
@@ -87,7 +87,7 @@
 // stepsOf adds a job's steps that may run now.
 func (p *Pool) stepsOf(j *jobState, now time.Time, list []candidate) []candidate {
 	for n := range j.rounds {
-		if j.sub.Times > 0 && now.Before(p.due(j, n)) {
+		if j.sub.RepeatCount > 0 && now.Before(p.due(j, n)) {
 			p.wakeAt(p.due(j, n), now)
 			break
 		}
@@ -107,7 +107,7 @@
 
 // urgency returns how urgent a step is.
 func (j *jobState) urgency(s *stepState, now time.Time) urgency {
-	if s.spec.Lasting {
+	if s.spec.LongRunning {
 		return lasting
 	}
 	switch left := j.lastChance().Sub(now); {
@@ -213,15 +213,15 @@
 // suits reports whether a task of a step may run on a worker now.
 func (p *Pool) suits(s *stepState, w *workerState, now time.Time) bool {
 	switch {
-	case !w.open(now), !s.spec.Room().Fits(w.room()):
+	case !w.open(now), !s.spec.Reservation().FitsIn(w.room()):
 		return false
 	case !s.admits(w, now):
 		return false
-	case p.reserved[w] && p.reservedFor != s && !s.spec.Lasting:
+	case p.reserved[w] && p.reservedFor != s && !s.spec.LongRunning:
 		return false
-	case s.spec.Label != "" && !w.info.Has(s.spec.Label):
+	case s.spec.Label != "" && !w.info.HasLabel(s.spec.Label):
 		return false
-	case s.spec.PerWorker > 0 && s.perHost[w] >= s.spec.PerWorker:
+	case s.spec.MaxPerWorker > 0 && s.perHost[w] >= s.spec.MaxPerWorker:
 		return false
 	}
 	return true
@@ -239,10 +239,10 @@
 // serve another pool.
 func (p *Pool) score(s *stepState, w *workerState) float64 {
 	score := float64(w.used.CPU)/float64(max(w.info.Capacity.CPU, 1)) + s.shareScore(w)
-	if s.spec.Rack != "" && w.info.Has(s.spec.Rack) {
+	if s.spec.Rack != "" && w.info.HasLabel(s.spec.Rack) {
 		score += nearData
 	}
-	if s.spec.Lasting && w.lasting > 0 && !servesUsers(s.spec) {
+	if s.spec.LongRunning && w.lasting > 0 && !servesUsers(s.spec) {
 		score += lastingThere
 	}
 	return score
@@ -296,7 +296,7 @@
 	}
 	p.reservedFor = c.step
 	p.reserved = make(map[*workerState]bool)
-	room := c.step.spec.Room()
+	room := c.step.spec.Reservation()
 	left := len(c.step.tasks)
 	for _, w := range p.byRoom() {
 		if left <= 0 {
@@ -326,17 +326,17 @@
 // wouldFit returns how many tasks of a step a worker takes once nothing but tasks
 // that last runs there.
 func (p *Pool) wouldFit(s *stepState, w *workerState, room job.Size, now time.Time) int {
-	if !w.open(now) || s.spec.Label != "" && !w.info.Has(s.spec.Label) {
+	if !w.open(now) || s.spec.Label != "" && !w.info.HasLabel(s.spec.Label) {
 		return 0
 	}
 	free := w.info.Capacity
 	for _, u := range w.runs {
-		if !u.stray && u.step().spec.Lasting {
+		if !u.stray && u.step().spec.LongRunning {
 			free = free.Minus(u.room)
 		}
 	}
 	fits := 0
-	for room.Times(fits+1).Fits(free) && (s.spec.PerWorker == 0 || fits < s.spec.PerWorker) && fits < len(s.tasks) {
+	for room.Times(fits+1).FitsIn(free) && (s.spec.MaxPerWorker == 0 || fits < s.spec.MaxPerWorker) && fits < len(s.tasks) {
 		fits++
 	}
 	return fits
@@ -358,12 +358,12 @@
 	taken := make(map[*workerState]job.Size)
 	count := make(map[*workerState]int)
 	chosen := make([]*workerState, 0, len(c.step.tasks))
-	room := c.step.spec.Room()
+	room := c.step.spec.Reservation()
 	for i := range c.step.tasks {
 		w := p.choose(c, &c.step.tasks[i], now, func(w *workerState) bool {
-			most := c.step.spec.PerWorker
-			return rack != "" && !w.info.Has(rack) || most > 0 && c.step.perHost[w]+count[w] >= most ||
-				!room.Plus(taken[w]).Fits(w.room())
+			most := c.step.spec.MaxPerWorker
+			return rack != "" && !w.info.HasLabel(rack) || most > 0 && c.step.perHost[w]+count[w] >= most ||
+				!room.Plus(taken[w]).FitsIn(w.room())
 		})
 		if w == nil {
 			return nil
--- a/services/scheduler/pool.go
+++ b/services/scheduler/pool.go
@@ -46,8 +46,8 @@
 	times     map[string]*trend  // what run times are to estimates, by queue
 	images    map[string]*mean   // run times in seconds, by image
 
-	blamed map[worker.Life][]job.TaskRef // tasks against which a worker's crash is held
-	downs  map[worker.Life]time.Time     // since when workers that have crashed were silent, of late
+	blamed map[worker.Incarnation][]job.TaskRef // tasks against which a worker's crash is held
+	downs  map[worker.Incarnation]time.Time     // since when workers that have crashed were silent, of late
 
 	raised uint64              // how often the token of a worker's orders was raised
 	starts map[worker.ID]int64 // which start of a worker has runs, as it is kept or in the batch under way
@@ -92,8 +92,8 @@
 		cordons: make(map[worker.ID]bool),
 		times:   make(map[string]*trend),
 		images:  make(map[string]*mean),
-		blamed:  make(map[worker.Life][]job.TaskRef),
-		downs:   make(map[worker.Life]time.Time),
+		blamed:  make(map[worker.Incarnation][]job.TaskRef),
+		downs:   make(map[worker.Incarnation]time.Time),
 		starts:  make(map[worker.ID]int64),
 		batch:   1,
 	}
--- a/services/scheduler/record.go
+++ b/services/scheduler/record.go
@@ -338,7 +338,7 @@
 		w.surely = now.Add(surely)
 		ref := job.TaskRef{StepRef: s.ref, Index: index}
 		u := &run{
-			job: j, ref: ref, name: ref.String(), number: o.Number, at: w, room: s.spec.Room(),
+			job: j, ref: ref, name: ref.String(), number: o.Number, at: w, room: s.spec.Reservation(),
 			phase: ordered, restored: true, pace: fullPace, moved: now,
 		}
 		p.attach(u)
--- a/services/scheduler/record_crash.go
+++ b/services/scheduler/record_crash.go
@@ -95,7 +95,7 @@
 	if t == nil {
 		return nil // its job has ended
 	}
-	var life worker.Life
+	var life worker.Incarnation
 	if err := life.UnmarshalText([]byte(k.Worker)); err != nil {
 		return errors.Annotatef(err, "crashes of %s", id)
 	}
--- a/services/scheduler/restart.go
+++ b/services/scheduler/restart.go
@@ -36,7 +36,9 @@
 func (p *Pool) token(w *workerState) uint64 { return p.Token<<raiseBits | w.raised }
 
 // life returns which start of the worker has answered last.
-func (w *workerState) life() worker.Life { return worker.Life{ID: w.info.ID, Born: w.born} }
+func (w *workerState) life() worker.Incarnation {
+	return worker.Incarnation{ID: w.info.ID, StartedAt: w.born}
+}
 
 // raise has a worker refuse what was sent to it until now, once something was sent that it
 // takes: another start of it would carry that out.
@@ -62,7 +64,7 @@
 
 // restarted takes the list of another start than the one that has answered last. It returns
 // the state of the worker to go on with, nil where the worker must be looked at once more.
-func (p *Pool) restarted(w *workerState, k Poll, listing worker.Listing, now time.Time) *workerState {
+func (p *Pool) restarted(w *workerState, k Poll, listing worker.PollResult, now time.Time) *workerState {
 	if w.met && !(w.unproven && k.raised >= w.since) {
 		p.suspectRestart(w)
 		return nil
@@ -71,11 +73,11 @@
 	n.info.Draining, n.info.Remaining = false, 0
 	n.listed, n.must, n.cordonIn = w.listed, w.must, w.cordonIn
 	n.info.Address = w.address()
-	if w.hint != nil && w.hint.Born == listing.Born {
+	if w.hint != nil && w.hint.StartedAt == listing.StartedAt {
 		n.info, n.listed = *w.hint, true
 	}
-	n.born, n.checked, n.raised, n.since = listing.Born, w.born, w.raised, w.since
-	p.Logger.Info().Str("event", "worker").Str("worker", string(w.info.ID)).Int64("born", listing.Born).Int64("born_before", w.born).
+	n.born, n.checked, n.raised, n.since = listing.StartedAt, w.born, w.raised, w.since
+	p.Logger.Info().Str("event", "worker").Str("worker", string(w.info.ID)).Int64("born", listing.StartedAt).Int64("born_before", w.born).
 		Int("runs_before", len(w.runs)).Int("runs", len(listing.Runs)).Int("ends", len(listing.Ends)).Int("sequence_before", w.seen).
 		Bool("met", w.met).Uint64("token", p.token(n)).Msg("a worker has started again")
 	p.count(workerRestarted)
@@ -89,7 +91,7 @@
 
 // takeOver has runs go on at a worker's next start that it lists: an order for them was
 // carried out by that one.
-func (p *Pool) takeOver(w, n *workerState, listing worker.Listing, now time.Time) {
+func (p *Pool) takeOver(w, n *workerState, listing worker.PollResult, now time.Time) {
 	take := func(name string, number int) {
 		u := w.runs[name]
 		if u == nil || u.number != number || !u.sent && !u.restored {
@@ -131,16 +133,16 @@
 // seeStart takes an entry's word for a worker's start, and reports whether the entry tells of
 // the worker as it is known.
 func (p *Pool) seeStart(w *workerState, info worker.Worker) bool {
-	if !w.met || w.born == 0 || info.Born == w.born {
+	if !w.met || w.born == 0 || info.StartedAt == w.born {
 		return true
 	}
-	if info.Born == 0 {
+	if info.StartedAt == 0 {
 		return false
 	}
 	w.hint, w.listed, w.lingers = &info, true, false
-	if info.Born != w.checked {
+	if info.StartedAt != w.checked {
 		p.reachAt(w, true)
-		p.Logger.Info().Str("event", "worker").Str("worker", string(info.ID)).Int64("born", info.Born).Int64("born_before", w.born).
+		p.Logger.Info().Str("event", "worker").Str("worker", string(info.ID)).Int64("born", info.StartedAt).Int64("born_before", w.born).
 			Uint64("revision", info.Revision).Msg("a worker is listed with another start")
 		p.suspectRestart(w)
 		p.attend(w)
@@ -155,7 +157,7 @@
 	}
 	w.unproven = false
 	if w.hint != nil {
-		w.checked = w.hint.Born
+		w.checked = w.hint.StartedAt
 		p.reachAt(w, false)
 	}
 	p.moved = true
@@ -188,7 +190,7 @@
 	foreign := w.atHint && v == port.OtherIncarnation
 	p.reachAt(w, !w.atHint)
 	if foreign {
-		w.checked, w.hint, w.wantLook = w.hint.Born, nil, true
+		w.checked, w.hint, w.wantLook = w.hint.StartedAt, nil, true
 	}
 	return foreign
 }
@@ -199,7 +201,7 @@
 	for life := range p.blamed {
 		switch {
 		case life.ID != w.info.ID:
-		case life.Born == 0 || life.Born == w.born:
+		case life.StartedAt == 0 || life.StartedAt == w.born:
 			p.acquit(life)
 		default:
 			p.confirm(life)
--- a/services/scheduler/restart_test.go
+++ b/services/scheduler/restart_test.go
@@ -17,7 +17,7 @@
 
 // restartable is what the worker "w" says of itself at one of its starts.
 func restartable(born int64) worker.Worker {
-	return worker.Worker{ID: "w", Instance: "i", Pool: "p", Address: "a", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}, Born: born}
+	return worker.Worker{ID: "w", Instance: "i", Pool: "p", Address: "a", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}, StartedAt: born}
 }
 
 // serveAs lists the worker "w" and has one of its starts answer a look.
@@ -28,15 +28,15 @@
 }
 
 // answer has a start of the worker "w" answer looks until it is known.
-func (d *desk) answer(born int64, ends ...worker.End) {
+func (d *desk) answer(born int64, ends ...worker.EndedRun) {
 	d.t.Helper()
-	d.list(born, worker.Listing{Ends: ends})
+	d.list(born, worker.PollResult{Ends: ends})
 }
 
 // list has a start of the worker "w" answer looks with a list of runs until it is known.
-func (d *desk) list(born int64, l worker.Listing) {
+func (d *desk) list(born int64, l worker.PollResult) {
 	d.t.Helper()
-	l.Born = born
+	l.StartedAt = born
 	d.look("w", l, heard)
 	if w := d.workers["w"]; w.unproven {
 		d.look("w", l, heard)
@@ -71,12 +71,12 @@
 	for name, born := range map[string]int64{"later": 2000, "its time of day was set back": 500} {
 		t.Run(name, func(t *testing.T) {
 			d := newDeskWithRun(t)
-			d.answer(1000, worker.End{Sequence: 1, Task: "1.0.0.0", Number: 1, How: worker.Done})
+			d.answer(1000, worker.EndedRun{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: worker.Done})
 			d.keep()
 			d.answer(born)
 			d.submit("2", 1)
 			d.HandleOrderResponse(d.give(), heard, d.now)
-			d.answer(born, worker.End{Sequence: 1, Task: "2.0.0.0", Number: 1, How: worker.Done})
+			d.answer(born, worker.EndedRun{Sequence: 1, Task: "2.0.0.0", Number: 1, Reason: worker.Done})
 			assert.Equal(t, d.state("2"), job.Completed)
 			starts, _ := d.orders("w")
 			assert.Equal(t, starts, 0)
@@ -93,7 +93,7 @@
 	for n := range 3 {
 		d.now = d.now.Add(time.Minute)
 		d.HandleOrderResponse(d.give(), heard, d.now)
-		d.answer(int64(1000+n), worker.End{Sequence: 1, Task: "1.0.0.0", Number: n + 1, How: worker.Failed})
+		d.answer(int64(1000+n), worker.EndedRun{Sequence: 1, Task: "1.0.0.0", Number: n + 1, Reason: worker.Failed})
 		d.keep()
 		d.answer(int64(1001 + n))
 	}
@@ -106,15 +106,15 @@
 func TestEndsAreForgottenByTheStartThatListedThem(t *testing.T) {
 	seen := func(d *desk) int {
 		k, ask, _ := d.BeginPoll("w", 0, d.now)
-		d.EndPoll(k, worker.Listing{Born: 1000, Runs: []worker.Run{{Task: "1.0.0.1", Number: 1}}}, heard, d.now)
+		d.EndPoll(k, worker.PollResult{StartedAt: 1000, Runs: []worker.Run{{Task: "1.0.0.1", Number: 1}}}, heard, d.now)
 		return ask.Acknowledged
 	}
 	d := newDesk(t, 1)
 	d.serveAs(1000)
 	d.submit("1", 2)
 	d.beginAll("w")
-	d.list(1000, worker.Listing{
-		Runs: []worker.Run{{Task: "1.0.0.1", Number: 1}}, Ends: []worker.End{{Sequence: 1, Task: "1.0.0.0", Number: 1, How: worker.Done}},
+	d.list(1000, worker.PollResult{
+		Runs: []worker.Run{{Task: "1.0.0.1", Number: 1}}, Ends: []worker.EndedRun{{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: worker.Done}},
 	})
 	d.keep()
 	d.now = d.now.Add(forgetWithin + time.Millisecond)
@@ -135,12 +135,12 @@
 	token := d.token(before.Run.at)
 	d.submit("2", 1)
 	d.keep()
-	d.look("w", worker.Listing{Born: 2000}, heard)
+	d.look("w", worker.PollResult{StartedAt: 2000}, heard)
 	starts, _ := d.orders("w")
 	assert.Equal(t, starts, 0)
 	k, ask, _ := d.BeginPoll("w", time.Second, d.now)
 	assert.Assert(t, ask.Token > token && ask.Deadline == 0 && ask.Wait == 0 && ask.Acknowledged == 0, "%+v", ask)
-	d.EndPoll(k, worker.Listing{Born: 2000}, heard, d.now)
+	d.EndPoll(k, worker.PollResult{StartedAt: 2000}, heard, d.now)
 	d.HandleOrderResponse(before, port.Response{Result: port.TokenTooLow, Clock: time.Hour}, d.now)
 	assert.Assert(t, d.workers["w"].clock < time.Hour, "the clock of a start is not that of the one before")
 	d.keep()
@@ -177,9 +177,9 @@
 // TestARunThatTheNextStartHasTakenGoesOn guards against a second run beside one that a worker's
 // next start has taken, or has ended, before the restart was known.
 func TestARunThatTheNextStartHasTakenGoesOn(t *testing.T) {
-	for name, l := range map[string]worker.Listing{
+	for name, l := range map[string]worker.PollResult{
 		"runs":      {Runs: []worker.Run{{Task: "1.0.0.0", Number: 1}}},
-		"has ended": {Ends: []worker.End{{Sequence: 1, Task: "1.0.0.0", Number: 1, How: worker.Done}}},
+		"has ended": {Ends: []worker.EndedRun{{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: worker.Done}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newDesk(t, 1)
@@ -190,7 +190,7 @@
 			d.keep()
 			starts, stops := d.orders("w")
 			assert.Equal(t, starts+stops, 0)
-			d.answer(2000, worker.End{Sequence: 1, Task: "1.0.0.0", Number: 1, How: worker.Done})
+			d.answer(2000, worker.EndedRun{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: worker.Done})
 			assert.Equal(t, d.state("1"), job.Completed)
 			assert.Equal(t, len(d.workers["w"].runs), 0)
 		})
@@ -204,7 +204,7 @@
 	_, err := d.Cancel("1", d.now)
 	assert.NilError(t, err)
 	d.keep()
-	d.list(2000, worker.Listing{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1}}})
+	d.list(2000, worker.PollResult{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1}}})
 	d.keep()
 	_, stops := d.orders("w")
 	assert.Equal(t, stops, 1)
@@ -277,14 +277,14 @@
 	next.Address = "b"
 	d.UpdateWorker(next)
 	assert.Equal(t, at(), "b")
-	d.look("w", worker.Listing{}, port.Response{Result: port.Unreachable})
+	d.look("w", worker.PollResult{}, port.Response{Result: port.Unreachable})
 	assert.Equal(t, at(), "a")
-	d.look("w", worker.Listing{}, port.Response{Result: port.Unreachable})
+	d.look("w", worker.PollResult{}, port.Response{Result: port.Unreachable})
 	assert.Equal(t, at(), "b")
-	d.look("w", worker.Listing{}, otherLife)
+	d.look("w", worker.PollResult{}, otherLife)
 	assert.Equal(t, at(), "a")
 	assert.Equal(t, d.waitingTasks("1"), 0, "another worker ends no run")
-	next.Born = 3000
+	next.StartedAt = 3000
 	d.UpdateWorker(next)
 	d.answer(3000)
 	assert.Equal(t, at(), "b")
@@ -296,7 +296,7 @@
 // while it is not reached.
 func TestAWorkerThatIsListedAgainIsNotForgotten(t *testing.T) {
 	d := newDeskWithRun(t)
-	d.look("w", worker.Listing{}, port.Response{Result: port.Unknown})
+	d.look("w", worker.PollResult{}, port.Response{Result: port.Unknown})
 	d.UnlistWorker("w")
 	d.UpdateWorker(restartable(2000))
 	d.now = d.now.Add(time.Minute)
@@ -309,7 +309,7 @@
 // another start, where the worker has told its start before.
 func TestAListWithoutItsStartIsNotTaken(t *testing.T) {
 	d := newDeskWithRun(t)
-	d.look("w", worker.Listing{}, heard)
+	d.look("w", worker.PollResult{}, heard)
 	assert.Equal(t, d.waitingTasks("1"), 0)
 	assert.Assert(t, !d.workers["w"].silent.IsZero())
 }
@@ -320,7 +320,7 @@
 	d := newDesk(t, 1)
 	d.serveAs(1000)
 	d.submit("1", 1)
-	d.jobs["1"].queue.Advice = &config.Advice{Valid: time.Hour}
+	d.jobs["1"].queue.Advice = &config.Advice{TicketValidity: time.Hour}
 	d.Plan(d.now)
 	s := &d.jobs["1"].rounds[0].steps[0]
 	q, has := d.NextAdviceRequest(d.now)
@@ -424,7 +424,7 @@
 	d.submit("1", 1)
 	assert.Assert(t, has(d.keep(), keyStart+"w", true))
 	d.beginAll("w")
-	d.answer(1000, worker.End{Sequence: 1, Task: "1.0.0.0", Number: 1, How: worker.Done})
+	d.answer(1000, worker.EndedRun{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: worker.Done})
 	assert.Assert(t, !has(d.keep(), keyStart+"w", true))
 	d.UnlistWorker("w")
 	assert.Assert(t, has(d.keep(), keyStart+"w", false))
@@ -435,7 +435,7 @@
 func TestAnOrderToAnInstanceEndsItsStartOnly(t *testing.T) {
 	for born, ended := range map[int64]bool{1000: true, 999: false, 0: false} {
 		d := newDeskWithRun(t)
-		d.EndIncarnations([]worker.Life{{ID: "w", Born: born}}, d.now)
+		d.EndIncarnations([]worker.Incarnation{{ID: "w", StartedAt: born}}, d.now)
 		assert.Equal(t, d.workers["w"] == nil, ended, "start %d", born)
 		if !ended {
 			assert.DeepEqual(t, d.PendingWorkers(), []worker.ID{"w"})
--- a/services/scheduler/run.go
+++ b/services/scheduler/run.go
@@ -79,7 +79,7 @@
 	t.number++
 	ref := job.TaskRef{StepRef: s.ref, Index: index}
 	u := &run{
-		job: j, ref: ref, name: ref.String(), number: t.number, at: w, room: s.spec.Room(),
+		job: j, ref: ref, name: ref.String(), number: t.number, at: w, room: s.spec.Reservation(),
 		batch: p.batch, pace: fullPace, moved: now, ticket: w.tickets[s.ref], suspected: t.suspected(),
 	}
 	p.attach(u)
@@ -98,7 +98,7 @@
 	t.runs = append(t.runs, u)
 	u.job.live++
 	p.allowed.count(u.job.sub.Customer, s.spec.Size)
-	if s.spec.PerWorker > 0 {
+	if s.spec.MaxPerWorker > 0 {
 		if s.perHost == nil {
 			s.perHost = make(map[*workerState]int)
 		}
@@ -106,7 +106,7 @@
 	}
 	u.at.runs[u.name] = u
 	u.at.used = u.at.used.Plus(u.room)
-	if s.spec.Lasting {
+	if s.spec.LongRunning {
 		u.at.lasting++
 	}
 	if u.suspected {
@@ -141,7 +141,7 @@
 	}
 	delete(u.at.runs, u.name)
 	u.at.used = u.at.used.Minus(u.room)
-	if s.spec.Lasting {
+	if s.spec.LongRunning {
 		u.at.lasting--
 	}
 	if u.suspected {
--- a/services/scheduler/sharing.go
+++ b/services/scheduler/sharing.go
@@ -41,7 +41,7 @@
 }
 
 // serves reports whether a step's tasks serve users who wait.
-func servesUsers(s *job.Step) bool { return s.Lasting && s.Target > 0 }
+func servesUsers(s *job.Step) bool { return s.LongRunning && s.LatencyObjective > 0 }
 
 // share sets the pace of what fills on a worker by what a look has shown.
 func (p *Pool) share(w *workerState, now time.Time) {
@@ -51,13 +51,13 @@
 			continue
 		}
 		s := u.step().spec
-		if s.Filling {
+		if s.Backfill {
 			fills = true
 		}
 		if servesUsers(s) && u.percent >= fullPace {
 			tail := time.Duration(u.load) * time.Millisecond
-			over = over || tail > s.Target
-			well = well && float64(tail) < calmShare*float64(s.Target)
+			over = over || tail > s.LatencyObjective
+			well = well && float64(tail) < calmShare*float64(s.LatencyObjective)
 		}
 	}
 	if !fills {
@@ -94,7 +94,7 @@
 // pace orders the pace of what fills on a worker where it has another.
 func (p *Pool) pace(w *workerState, now time.Time) {
 	for _, u := range w.runs {
-		if u.stray || u.phase != running || u.stopping || !u.step().spec.Filling || u.pace == w.sharing.now() {
+		if u.stray || u.phase != running || u.stopping || !u.step().spec.Backfill || u.pace == w.sharing.now() {
 			continue
 		}
 		u.pace = w.sharing.now()
@@ -114,7 +114,7 @@
 // shareScore returns what sharing counts for a task on a worker. What serves and
 // what fills is spread, since each disturbs the others.
 func (s *stepState) shareScore(w *workerState) float64 {
-	if !s.spec.Filling && !servesUsers(s.spec) {
+	if !s.spec.Backfill && !servesUsers(s.spec) {
 		return 0
 	}
 	score, cpu := 0.0, s.spec.Size.CPU
@@ -125,9 +125,9 @@
 		o := u.step().spec
 		cpu += o.Size.CPU
 		switch {
-		case s.spec.Filling && servesUsers(o):
+		case s.spec.Backfill && servesUsers(o):
 			score -= besideServing
-		case servesUsers(s.spec) && o.Filling:
+		case servesUsers(s.spec) && o.Backfill:
 			score -= besideFilling
 		}
 	}
--- a/services/scheduler/stale_test.go
+++ b/services/scheduler/stale_test.go
@@ -62,7 +62,7 @@
 	d.unanswered("w") // the second without an answer: the worker counts as silent
 	d.now = d.now.Add(decidedLongAgo)
 	d.keep()
-	d.look("w", worker.Listing{}, heard)
+	d.look("w", worker.PollResult{}, heard)
 	starts, stops := d.orders("w")
 	assert.Equal(t, starts, 0, "a start is given long after it was decided")
 	assert.Equal(t, d.waitingTasks("3"), 1, "a task whose order was never sent does not wait again")
@@ -97,7 +97,7 @@
 	leaving := d.workers["w"].info
 	leaving.Draining = true
 	d.UpdateWorker(leaving)
-	d.look("w", worker.Listing{}, heard)
+	d.look("w", worker.PollResult{}, heard)
 	starts, _ := d.orders("w")
 	assert.Equal(t, starts, 0, "a task is begun on a worker that leaves")
 	d.keep()
--- a/services/scheduler/takeover_test.go
+++ b/services/scheduler/takeover_test.go
@@ -20,7 +20,7 @@
 
 // testConfig has one queue that leads to the pool "p".
 var testConfig = config.New(1,
-	[]config.Queue{{Name: "q", Host: "h", PathPrefix: "/q/", Pool: "p", Attempts: 3, Stretch: 1.5, Target: time.Second}},
+	[]config.Queue{{Name: "q", Host: "h", PathPrefix: "/q/", Pool: "p", MaxAttempts: 3, Stretch: 1.5, BaseObjective: time.Second}},
 	[]config.Pool{{Name: "p"}}, config.Limits{},
 )
 
@@ -44,7 +44,7 @@
 func (d *desk) serve() {
 	d.t.Helper()
 	d.UpdateWorker(worker.Worker{ID: "w", Instance: "i", Pool: "p", Address: "a", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}})
-	d.look("w", worker.Listing{}, heard)
+	d.look("w", worker.PollResult{}, heard)
 }
 
 // submit hands in a job of one step with tasks of a minute.
@@ -56,7 +56,7 @@
 func (d *desk) firstTask(id job.ID) *taskState { return &d.jobs[id].rounds[0].steps[0].tasks[0] }
 
 // look has a worker answer one look.
-func (d *desk) look(id worker.ID, listing worker.Listing, a port.Response) {
+func (d *desk) look(id worker.ID, listing worker.PollResult, a port.Response) {
 	d.t.Helper()
 	k, _, known := d.BeginPoll(id, 0, d.now)
 	assert.Assert(d.t, known)
@@ -89,9 +89,9 @@
 
 	second := newDesk(t, 2)
 	assert.NilError(t, second.Restore(records, second.now, time.Minute))
-	running := worker.Listing{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1}}}
+	running := worker.PollResult{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1}}}
 	second.look("w", running, heard)
-	second.look("w", worker.Listing{}, port.Response{Result: port.Unreachable})
+	second.look("w", worker.PollResult{}, port.Response{Result: port.Unreachable})
 	second.now = second.now.Add(testLimits.Lease)
 	second.ExpireLeases(second.now)
 	assert.Equal(t, len(second.firstTask("1").runs), 1, "the run is given up while its lease holds")
@@ -115,7 +115,7 @@
 	k, _, _ := d.BeginPoll("w", 0, d.now)
 	order, _ = d.NextOrder("w", d.now)
 	sent := d.StartOrder(order, d.now)
-	d.EndPoll(k, worker.Listing{}, port.Response{Result: port.Unreachable}, d.now)
+	d.EndPoll(k, worker.PollResult{}, port.Response{Result: port.Unreachable}, d.now)
 	assert.Equal(t, d.workers["w"].deadline, sent.Deadline)
 }
 
@@ -133,7 +133,7 @@
 	_, err := d.Cancel("1", d.now)
 	assert.NilError(t, err)
 	d.keep()
-	d.look("w", worker.Listing{}, heard)
+	d.look("w", worker.PollResult{}, heard)
 	order, has := d.NextOrder("w", d.now)
 	assert.Assert(t, has)
 	assert.Assert(t, order.Stop, "a run of a cancelled job is begun")
@@ -169,10 +169,10 @@
 		d.Retry(order, d.now)
 		order, _ = d.NextOrder("w", d.now)
 		d.StartOrder(order, d.now)
-		d.look("w", worker.Listing{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1}}}, heard)
+		d.look("w", worker.PollResult{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1}}}, heard)
 		assert.Assert(t, !d.HandleOrderResponse(order, port.Response{Result: v}, d.now), "%s", v)
 		assert.Equal(t, d.jobs["1"].rounds[0].steps[0].waiting, 0, "%s", v)
-		d.look("w", worker.Listing{}, heard)
+		d.look("w", worker.PollResult{}, heard)
 		assert.Equal(t, d.jobs["1"].rounds[0].steps[0].waiting, 1, "%s: a run that is gone is not noticed", v)
 	}
 }
--- a/services/scheduler/ticket_test.go
+++ b/services/scheduler/ticket_test.go
@@ -20,8 +20,8 @@
 	const valid = 500 * time.Millisecond
 	d := newDesk(t, 1)
 	d.Configure(config.New(2, []config.Queue{{
-		Name: "q", Host: "h", PathPrefix: "/q/", Pool: "p", Attempts: 3, Stretch: 1.5, Target: time.Second,
-		Advice: &config.Advice{Valid: valid},
+		Name: "q", Host: "h", PathPrefix: "/q/", Pool: "p", MaxAttempts: 3, Stretch: 1.5, BaseObjective: time.Second,
+		Advice: &config.Advice{TicketValidity: valid},
 	}}, []config.Pool{{Name: "p"}}, config.Limits{}))
 	d.serve()
 	d.submit("1", 1)
--- a/services/scheduler/trust.go
+++ b/services/scheduler/trust.go
@@ -112,5 +112,5 @@
 // risky reports whether a task should not be what a worker is tried with: one more
 // failure would be its job's last.
 func (t *taskState) risky(j *jobState) bool {
-	return t.fails > 0 && j.queue.Attempts > 0 && t.fails+1 >= j.queue.Attempts
+	return t.fails > 0 && j.queue.MaxAttempts > 0 && t.fails+1 >= j.queue.MaxAttempts
 }
--- a/services/scheduler/trust_test.go
+++ b/services/scheduler/trust_test.go
@@ -20,7 +20,7 @@
 	d.submit("1", 1)
 	a := d.life("a", 1)
 	fail := func(n int) {
-		d.look(a, worker.Listing{Ends: []worker.End{{Sequence: n, Task: "1.0.0.0", Number: n, How: worker.Failed}}}, heard)
+		d.look(a, worker.PollResult{Ends: []worker.EndedRun{{Sequence: n, Task: "1.0.0.0", Number: n, Reason: worker.Failed}}}, heard)
 	}
 	for n := range 2 {
 		assert.DeepEqual(t, d.beginAll(a), []string{"1.0.0.0"})
@@ -41,7 +41,7 @@
 	a := d.life("a", 1)
 	for n := range 2 {
 		d.beginAll(a)
-		d.look(a, worker.Listing{Ends: []worker.End{{Sequence: n + 1, Task: "1.0.0.0", Number: n + 1, How: worker.Failed}}}, heard)
+		d.look(a, worker.PollResult{Ends: []worker.EndedRun{{Sequence: n + 1, Task: "1.0.0.0", Number: n + 1, Reason: worker.Failed}}}, heard)
 	}
 	d.keep()
 	d.now = d.now.Add(2500 * time.Millisecond)
--- a/services/scheduler/worker.go
+++ b/services/scheduler/worker.go
@@ -112,7 +112,7 @@
 
 // overfull reports whether more runs there, or is to begin, than there is room for: it has
 // shrunk, or others run there that are to be stopped.
-func (w *workerState) overfull() bool { return !(job.Size{}).Fits(w.room()) }
+func (w *workerState) overfull() bool { return !(job.Size{}).FitsIn(w.room()) }
 
 // open reports whether tasks may be placed there.
 func (w *workerState) open(now time.Time) bool {
@@ -149,7 +149,7 @@
 	if w == nil {
 		w = p.addWorker(info)
 		p.Logger.Info().Str("event", "worker").Str("worker", string(info.ID)).Str("instance", info.Instance).
-			Str("address", info.Address).Strs("labels", info.Labels).Int64("born", info.Born).Uint64("revision", info.Revision).Msg("a worker has come")
+			Str("address", info.Address).Strs("labels", info.Labels).Int64("born", info.StartedAt).Uint64("revision", info.Revision).Msg("a worker has come")
 		p.compare(w)
 		w.listed = true
 		return true
@@ -275,12 +275,12 @@
 
 // EndIncarnations takes the news that workers' lives were ended by an order to their
 // instances. One that has another start by now is looked at.
-func (p *Pool) EndIncarnations(lives []worker.Life, now time.Time) {
+func (p *Pool) EndIncarnations(lives []worker.Incarnation, now time.Time) {
 	for _, l := range lives {
 		w := p.workers[l.ID]
 		switch {
 		case w == nil:
-		case l.Born == w.born:
+		case l.StartedAt == w.born:
 			p.lifeOver(w, now, endedByOrder, "its instance was moved or maintained")
 		default:
 			p.suspectRestart(w)
@@ -293,7 +293,7 @@
 func (p *Pool) lose(u *run, now time.Time, why string) {
 	p.Logger.Info().Str("event", "lost").Str("task", u.name).Int("run", u.number).Str("worker", string(u.at.info.ID)).
 		Dur("age", u.age(now)).Str("why", why).Msg("a run is lost")
-	if u.saved != "" && u.step().spec.Checkpoints {
+	if u.saved != "" && u.step().spec.Checkpointing {
 		u.task().checkpoint = u.saved
 	}
 	if !u.stray {
--- a/services/slots/account.go
+++ b/services/slots/account.go
@@ -70,7 +70,7 @@
 		if l.quarantined(name, e) {
 			// What was lent here is known and stays booked; what an earlier
 			// owner lent is not.
-			all = all && (i.First || l.toldBeforeLoss(name, i))
+			all = all && (i.FirstOwner || l.toldBeforeLoss(name, i))
 			continue
 		}
 		l.dropLost(name, e, a)
@@ -93,7 +93,7 @@
 // told reports whether a present process has told what it holds since the
 // ownership began; the first owner's holders hold nothing from others.
 func (l *Lender) told(name string, e state.Entry, i state.Instance) bool {
-	if !e.Present || i.First || e.JoinedAt >= i.Epoch {
+	if !e.Present || i.FirstOwner || e.JoinedAt >= i.Epoch {
 		return true
 	}
 	h, ok := l.holders[holderKey{name, e.Incarnation}]
--- a/services/slots/balance.go
+++ b/services/slots/balance.go
@@ -14,12 +14,12 @@
 func Balance(s state.State, name string) (record.Handoff, bool) {
 	for _, p := range s.Catalog.Pools() {
 		poorest := ""
-		for _, n := range s.Roster() {
-			if poorest == "" || s.Owned(n, p.Name) < s.Owned(poorest, p.Name) {
+		for _, n := range s.MemberNames() {
+			if poorest == "" || s.OwnedCount(n, p.Name) < s.OwnedCount(poorest, p.Name) {
 				poorest = n
 			}
 		}
-		if poorest == "" || s.Owned(name, p.Name) < s.Owned(poorest, p.Name)+2 {
+		if poorest == "" || s.OwnedCount(name, p.Name) < s.OwnedCount(poorest, p.Name)+2 {
 			continue
 		}
 		if h, ok := handoff(s, p, name, poorest); ok {
@@ -37,7 +37,7 @@
 		if i.Owner != from || i.Phase != state.InService {
 			continue
 		}
-		if near := i.Worker.Hall == e.Hall; !ok || near {
+		if near := i.Worker.DataCenter == e.DataCenter; !ok || near {
 			h, ok = record.Handoff{Worker: i.Worker.ID, Epoch: i.Epoch, To: to}, true
 			if near {
 				break
--- a/services/slots/holder.go
+++ b/services/slots/holder.go
@@ -69,7 +69,7 @@
 func (h *Holder) Update(s state.State) {
 	h.mu.Lock()
 	h.init()
-	known := h.state.Offset > 0 && s.Topology() == h.state.Topology()
+	known := h.state.Offset > 0 && s.TopologyChangedAt() == h.state.TopologyChangedAt()
 	if s.Offset >= h.state.Offset {
 		h.state = s
 	}
@@ -88,7 +88,7 @@
 	clear(h.mustHear)
 	for _, i := range s.Instances.All() {
 		h.updateTarget(i)
-		if !i.First {
+		if !i.FirstOwner {
 			h.mustHear[i.Owner] = max(h.mustHear[i.Owner], i.Epoch)
 		}
 	}
@@ -148,7 +148,7 @@
 	if i.Epoch != t.epoch {
 		t.dirty = t.held > 0
 	}
-	t.address, t.hall, t.pool = i.Worker.Address, i.Worker.Hall, i.Pool
+	t.address, t.hall, t.pool = i.Worker.Address, i.Worker.DataCenter, i.Pool
 	t.owner, t.epoch = i.Owner, i.Epoch
 	h.checkNotice(i.Worker)
 	t.serving = i.Serving() && h.leaving[t.worker] == nil
--- a/services/slots/lender.go
+++ b/services/slots/lender.go
@@ -58,7 +58,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
-	known := l.state.Offset > 0 && s.Topology() == l.state.Topology()
+	known := l.state.Offset > 0 && s.TopologyChangedAt() == l.state.TopologyChangedAt()
 	l.state = s
 	if known {
 		return
@@ -122,7 +122,7 @@
 	if x.Session < h.session || x.Session > h.session && !x.Full || !l.current(k) {
 		return Granted{Stale: true}
 	}
-	if x.Offset > l.state.OwnersAt {
+	if x.Offset > l.state.OwnersChangedAt {
 		return Granted{Behind: true}
 	}
 	h.session = x.Session
--- a/services/slots/link.go
+++ b/services/slots/link.go
@@ -153,7 +153,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.init()
-	x = Exchange{Entry: h.Name, Offset: h.state.OwnersAt, Full: full}
+	x = Exchange{Entry: h.Name, Offset: h.state.OwnersChangedAt, Full: full}
 	pools := make(map[string]bool)
 	for _, t := range h.targets {
 		if t.owner != owner {
--- a/services/slots/network_test.go
+++ b/services/slots/network_test.go
@@ -81,10 +81,10 @@
 	for i := range testWorkers {
 		workers = append(workers, fleet.Worker{ID: fmt.Sprintf("w%d", i), Slots: testSlots, Condition: fleet.Live, Rack: fmt.Sprint(i)})
 	}
-	n.put("e0", record.Record{Sighting: &record.Sighting{Revision: n.newest.ListRevision + 1, Workers: workers}})
+	n.put("e0", record.Record{ListUpdate: &record.ListUpdate{Revision: n.newest.ListRevision + 1, Workers: workers}})
 	n.put("e0", record.Record{Apply: &record.Apply{Deployment: "d", Put: []manifest.Object{
 		{Team: &manifest.Team{Name: "t"}},
-		{Pool: &manifest.Pool{Name: "p", Team: "t", Size: testWorkers, Survive: manifest.DomainWorker}},
+		{Pool: &manifest.Pool{Name: "p", Team: "t", Size: testWorkers, FailureDomain: manifest.DomainWorker}},
 	}}})
 	for _, w := range workers {
 		i, _ := n.newest.Instances.Get(w.ID)
@@ -105,7 +105,7 @@
 	n.nodes[name] = d
 	n.names = append(n.names, name)
 	n.put(name, record.Record{Join: &record.Join{Address: name}})
-	n.put(name, record.Record{Sighting: &record.Sighting{Revision: n.newest.ListRevision + 1, Entries: []string{name}}})
+	n.put(name, record.Record{ListUpdate: &record.ListUpdate{Revision: n.newest.ListRevision + 1, Entries: []string{name}}})
 }
 
 func (n *network) put(writer string, r record.Record) {
--- a/services/slots/notice.go
+++ b/services/slots/notice.go
@@ -30,7 +30,7 @@
 		n.confirmed = true
 		return
 	}
-	if n.confirmed || w.Boot > n.boot || h.Clock.Now().Sub(n.at) > noticeLife {
+	if n.confirmed || w.BootCount > n.boot || h.Clock.Now().Sub(n.at) > noticeLife {
 		delete(h.leaving, w.ID)
 	}
 }
@@ -57,7 +57,7 @@
 		}
 		news = true
 		i, _ := h.state.Instances.Get(w)
-		h.leaving[w] = &notice{boot: i.Worker.Boot, at: h.Clock.Now(), confirmed: i.Worker.Condition != fleet.Live}
+		h.leaving[w] = &notice{boot: i.Worker.BootCount, at: h.Clock.Now(), confirmed: i.Worker.Condition != fleet.Live}
 		if t, ok := h.targets[w]; ok {
 			t.serving = false
 		}
--- a/services/slots/notice_test.go
+++ b/services/slots/notice_test.go
@@ -30,7 +30,7 @@
 	see := func(change func(*fleet.Worker)) {
 		i, _ := n.newest.Instances.Get("w0")
 		change(&i.Worker)
-		n.put("e0", record.Record{Sighting: &record.Sighting{Revision: n.newest.ListRevision + 1, Workers: []fleet.Worker{i.Worker}}})
+		n.put("e0", record.Record{ListUpdate: &record.ListUpdate{Revision: n.newest.ListRevision + 1, Workers: []fleet.Worker{i.Worker}}})
 		n.catchUp(d, len(n.log))
 	}
 	n.catchUp(d, len(n.log))
@@ -40,7 +40,7 @@
 	// The log confirms it, and then shows that the worker came back.
 	see(func(w *fleet.Worker) { w.Condition = fleet.Leaving })
 	assert.Equal(t, serving(d.holder), testWorkers-1)
-	see(func(w *fleet.Worker) { w.Condition = fleet.Live; w.Boot++ })
+	see(func(w *fleet.Worker) { w.Condition = fleet.Live; w.BootCount++ })
 	assert.Equal(t, serving(d.holder), testWorkers)
 	// News that nobody confirms is dropped in time, though the log is silent.
 	d.holder.Leaving([]string{"w0"})
--- a/services/slots/pick.go
+++ b/services/slots/pick.go
@@ -88,7 +88,7 @@
 	if h.silent[owner] {
 		return 3
 	}
-	if e, _ := h.state.Entries.Get(owner); e.Hall == h.Hall {
+	if e, _ := h.state.Entries.Get(owner); e.DataCenter == h.Hall {
 		return 1
 	}
 	return 2
--- a/services/snapshots/snapshots.go
+++ b/services/snapshots/snapshots.go
@@ -21,8 +21,8 @@
 	every = 200_000
 )
 
-// Taker takes snapshots while its entry holds the role.
-type Taker struct {
+// Snapshotter takes snapshots while its entry holds the role.
+type Snapshotter struct {
 	Clock       clock.Clock
 	Logger      log.Logger
 	Name        string
@@ -33,9 +33,9 @@
 }
 
 // Run takes snapshots when they are due until the context ends.
-func (t *Taker) Run(ctx context.Context) {
+func (t *Snapshotter) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if s := t.State(); s.Holds(record.RoleSnapshots, t.Name, t.Incarnation) && t.due(s) {
+		if s := t.State(); s.HoldsRole(record.RoleSnapshots, t.Name, t.Incarnation) && t.due(s) {
 			if err := t.Take(ctx, s); err != nil {
 				t.Logger.Warn().Err(err).Msg("snapshot not taken")
 			}
@@ -49,12 +49,12 @@
 
 // due reports whether a quarter of the retention has passed since the last
 // snapshot, or many records have come.
-func (t *Taker) due(s state.State) bool {
-	return s.Now.Sub(s.SnapshotAt) >= t.Retention/4 || s.Offset-s.SnapshotOf >= every
+func (t *Snapshotter) due(s state.State) bool {
+	return s.Now.Sub(s.SnapshotAt) >= t.Retention/4 || s.Offset-s.SnapshotOffset >= every
 }
 
 // Take puts a state on the log, one chunk an append.
-func (t *Taker) Take(ctx context.Context, s state.State) error {
+func (t *Snapshotter) Take(ctx context.Context, s state.State) error {
 	data, err := s.Encode()
 	if err != nil {
 		return err
--- a/standin/fleet_file.go
+++ b/standin/fleet_file.go
@@ -48,7 +48,7 @@
 		for n := 1; n <= h.WorkersPerRack; n++ {
 			workers = append(workers, fleet.Worker{
 				ID:           fmt.Sprintf("%s-r%d-w%d", h.Name, rack, n),
-				Hall:         h.Name,
+				DataCenter:   h.Name,
 				Rack:         fmt.Sprintf("r%d", rack),
 				Kind:         h.Kind,
 				Cores:        h.Cores,
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -220,7 +220,7 @@
 	for _, m := range p.workers {
 		if !m.bootingTo.IsZero() && !m.stuck && !now.Before(m.bootingTo) {
 			m.bootingTo = time.Time{}
-			m.worker.Boot++
+			m.worker.BootCount++
 			m.worker.Condition = fleet.Live
 			p.changed()
 		}
--- a/standin/world/check.go
+++ b/standin/world/check.go
@@ -146,7 +146,7 @@
 	w.checkOrder(node, j, ref, step, s)
 	w.checkCrashes(node, j, s)
 	w.checkLimit(node, j, step, s.Task)
-	used := step.Room()
+	used := step.Reservation()
 	onWorker := 0
 	for name, r := range o.runs {
 		used = used.Plus(r.room)
@@ -154,16 +154,16 @@
 			onWorker++
 		}
 	}
-	if !used.Fits(o.room()) {
+	if !used.FitsIn(o.room()) {
 		w.broken("LIMIT: %s starts %s on %s, which then holds %v", node, s.Task, o.info.ID, used)
 	}
-	if step.PerWorker > 0 && onWorker >= step.PerWorker {
+	if step.MaxPerWorker > 0 && onWorker >= step.MaxPerWorker {
 		w.broken("ROUTE: %s starts %s beside %d of its step", node, s.Task, onWorker)
 	}
-	if step.Label != "" && !o.info.Has(step.Label) {
+	if step.Label != "" && !o.info.HasLabel(step.Label) {
 		w.broken("ROUTE: %s starts %s on %s, which lacks %s", node, s.Task, o.info.ID, step.Label)
 	}
-	return step, step.Room()
+	return step, step.Reservation()
 }
 
 // checkTwice checks that no other run of a task is under way and none has ended
@@ -172,7 +172,7 @@
 	if j.noted[s.Task] {
 		w.broken("TWICE: %s starts %s, which is done", node, s.Task)
 	}
-	if step.Duplicates {
+	if step.AllowDuplicates {
 		return
 	}
 	for _, other := range w.workers {
@@ -188,7 +188,7 @@
 // checkOrder checks that a step's turn has come and that the task may be tried
 // again. The lock is held.
 func (w *World) checkOrder(node string, j *submitted, ref job.TaskRef, step *job.Step, s port.Start) {
-	for _, a := range step.After {
+	for _, a := range step.DependsOn {
 		for i := range j.sub.Steps[a].Count {
 			before := job.TaskRef{StepRef: job.StepRef{Job: ref.Job, Round: ref.Round, Step: a}, Index: i}
 			if !j.done[before.String()] {
@@ -196,7 +196,7 @@
 			}
 		}
 	}
-	if most := w.attempts(); !step.Lasting && most > 0 && j.fails[s.Task] >= most {
+	if most := w.attempts(); !step.LongRunning && most > 0 && j.fails[s.Task] >= most {
 		w.broken("BUDGET: %s starts %s after %d failures", node, s.Task, j.fails[s.Task])
 	}
 }
@@ -207,7 +207,7 @@
 func (w *World) attempts() int { return Attempts }
 
 // ran notes a run's end. The lock is held.
-func (w *World) ran(o *Worker, r *running, how worker.How) {
+func (w *World) ran(o *Worker, r *running, how worker.EndReason) {
 	w.left(o, r)
 	ref, _ := job.ParseTask(r.task)
 	j := w.jobs[ref.Job]
@@ -221,13 +221,13 @@
 }
 
 // noted takes that an end may be forgotten. The lock is held.
-func (w *World) noted(e worker.End) {
+func (w *World) noted(e worker.EndedRun) {
 	ref, _ := job.ParseTask(e.Task)
 	j := w.jobs[ref.Job]
 	if j == nil {
 		return
 	}
-	switch e.How {
+	switch e.Reason {
 	case worker.Done:
 		j.noted[e.Task] = true
 	case worker.Failed:
@@ -244,7 +244,7 @@
 		return
 	}
 	step := &j.sub.Steps[ref.Step]
-	if !step.Lasting || step.MayMiss == 0 || o.percent(r) < whole {
+	if !step.LongRunning || step.MaxUnavailable == 0 || o.percent(r) < whole {
 		return
 	}
 	away := 0
@@ -254,7 +254,7 @@
 			away++
 		}
 	}
-	if away >= step.MayMiss && time.Now().After(w.fault(node).HeldUp) {
+	if away >= step.MaxUnavailable && time.Now().After(w.fault(node).HeldUp) {
 		w.broken("AVAIL: %s ends %s while %d others of its step are away", node, r.task, away)
 	}
 	j.ordered[r.task] = true
--- a/standin/world/check_test.go
+++ b/standin/world/check_test.go
@@ -118,7 +118,7 @@
 			time.Sleep(5 * time.Second)
 			l, _ := w.Workers("n1").Open(worker.Worker{ID: ids[0]}).Poll(t.Context(), port.Poll{})
 			assert.Equal(t, len(l.Ends), 1)
-			assert.Equal(t, string(l.Ends[0].How), c.ends)
+			assert.Equal(t, string(l.Ends[0].Reason), c.ends)
 			assert.Equal(t, w.HasCompleted("0000000000000001"), c.ends == "done")
 		})
 	}
--- a/standin/world/feed.go
+++ b/standin/world/feed.go
@@ -56,7 +56,7 @@
 // AskWave writes a wave as an operator.
 func (w *World) AskWave(v wave.Wave) {
 	w.mu.Lock()
-	w.waves[v.Number] = &waveWork{v.AtOnce, v.Instances, make(map[string]bool)}
+	w.waves[v.Number] = &waveWork{v.MaxConcurrent, v.Instances, make(map[string]bool)}
 	w.mu.Unlock()
 	w.Write(operatorsAt, port.Record{Key: keyWave, Value: encode(v)})
 }
--- a/standin/world/link.go
+++ b/standin/world/link.go
@@ -108,7 +108,7 @@
 	}
 	step, room := o.w.started(node, o, s)
 	takes := step.Estimate
-	if step.Lasting {
+	if step.LongRunning {
 		takes = lastingTime
 	}
 	r = &running{task: s.Task, number: s.Number, spec: s.Spec, room: room, began: time.Now(), left: takes, takes: takes, counted: time.Now(), step: step, pace: whole}
@@ -168,7 +168,7 @@
 	})
 }
 
-func (l *nodeLink) look(ctx context.Context, k port.Poll) (worker.Listing, port.Response) {
+func (l *nodeLink) look(ctx context.Context, k port.Poll) (worker.PollResult, port.Response) {
 	listing, a := l.list(ctx, k.Token, func(o *Worker) {
 		o.extend(k.Deadline)
 		o.forget(k.Acknowledged)
@@ -189,15 +189,15 @@
 }
 
 // list carries an order out that is answered with a listing.
-func (l *nodeLink) list(ctx context.Context, token uint64, do func(o *Worker)) (worker.Listing, port.Response) {
-	var taken worker.Listing // may be written late, where there is no answer
+func (l *nodeLink) list(ctx context.Context, token uint64, do func(o *Worker)) (worker.PollResult, port.Response) {
+	var taken worker.PollResult // may be written late, where there is no answer
 	a := l.order(ctx, token, func(o *Worker) port.Result {
 		do(o)
 		taken = o.listing()
 		return port.Accepted
 	})
 	if a.Result != port.Accepted {
-		return worker.Listing{Clock: a.Clock}, a
+		return worker.PollResult{Clock: a.Clock}, a
 	}
 	taken.Clock = a.Clock
 	return taken, a
@@ -214,8 +214,8 @@
 }
 
 // listing returns what runs and what has ended. The lock is held.
-func (o *Worker) listing() worker.Listing {
-	l := worker.Listing{Born: o.info.Born}
+func (o *Worker) listing() worker.PollResult {
+	l := worker.PollResult{StartedAt: o.info.StartedAt}
 	for _, r := range o.runs {
 		l.Runs = append(l.Runs, worker.Run{Task: r.task, Number: r.number, Percent: o.percent(r), Load: int(o.tail(r).Milliseconds())})
 	}
--- a/standin/world/restart.go
+++ b/standin/world/restart.go
@@ -23,7 +23,7 @@
 	defer w.mu.Unlock()
 	w.reborn = true
 	for _, o := range w.workers {
-		o.info.Born = o.began.UnixMilli()
+		o.info.StartedAt = o.began.UnixMilli()
 		w.list(o)
 	}
 }
@@ -40,10 +40,10 @@
 	o := w.begin(i, i.pool, before.info.ID)
 	o.unheard, o.Deaf = before.unheard, before.Deaf
 	if w.random.IntN(4) == 0 {
-		o.info.Born -= w.random.Int64N(clockJump.Milliseconds())
+		o.info.StartedAt -= w.random.Int64N(clockJump.Milliseconds())
 	}
-	if o.info.Born == before.info.Born {
-		o.info.Born++
+	if o.info.StartedAt == before.info.StartedAt {
+		o.info.StartedAt++
 	}
 	late := time.Duration(0)
 	if w.random.IntN(2) == 0 {
--- a/standin/world/running.go
+++ b/standin/world/running.go
@@ -54,13 +54,13 @@
 }
 
 // finish ends a run.
-func (o *Worker) finish(r *running, how worker.How) {
+func (o *Worker) finish(r *running, how worker.EndReason) {
 	o.w.mu.Lock()
 	defer o.w.mu.Unlock()
 	o.finishLocked(r, how)
 }
 
-func (o *Worker) finishLocked(r *running, how worker.How) {
+func (o *Worker) finishLocked(r *running, how worker.EndReason) {
 	if o.over || o.runs[r.task] != r {
 		return
 	}
@@ -70,12 +70,12 @@
 			r.timer = time.AfterFunc(gangPoll, func() { o.finish(r, how) })
 			return
 		}
-		how = worker.Alone
+		how = worker.GangIncomplete
 		o.w.alone++
 	}
 	o.endRun(r, how)
 	if how != worker.Done {
-		how = worker.Broken
+		how = worker.GangBroken
 	}
 	for m, at := range others {
 		at.endRun(m, how)
@@ -105,14 +105,14 @@
 }
 
 // endRun ends one run and lists that. The lock is held.
-func (o *Worker) endRun(r *running, how worker.How) {
+func (o *Worker) endRun(r *running, how worker.EndReason) {
 	if r.timer != nil {
 		r.timer.Stop()
 	}
 	delete(o.runs, r.task)
 	o.ended[r.task] = r.number
 	o.next++
-	o.ends = append(o.ends, worker.End{Sequence: o.next, Task: r.task, Number: r.number, How: how})
+	o.ends = append(o.ends, worker.EndedRun{Sequence: o.next, Task: r.task, Number: r.number, Reason: how})
 	close(o.changed)
 	o.changed = make(chan struct{})
 	o.w.ran(o, r, how)
--- a/standin/world/worker.go
+++ b/standin/world/worker.go
@@ -34,7 +34,7 @@
 	lease   time.Duration // on the worker's clock
 	runs    map[string]*running
 	ended   map[string]int // the newest run that is over, by task
-	ends    []worker.End
+	ends    []worker.EndedRun
 	next    int
 	void    int       // ends up to this one do not count
 	harmed  time.Time // since when what fills keeps a serving task over its target
@@ -81,7 +81,7 @@
 		},
 	}
 	if w.reborn {
-		o.info.Born = time.Now().UnixMilli()
+		o.info.StartedAt = time.Now().UnixMilli()
 	}
 	i.pool, i.condition, i.life = pool, port.Up, id
 	w.workers[id] = o
@@ -244,7 +244,7 @@
 	for _, r := range o.runs {
 		for m, at := range o.w.members(r) {
 			if at != o {
-				at.endRun(m, worker.Broken)
+				at.endRun(m, worker.GangBroken)
 			}
 		}
 	}
@@ -272,7 +272,7 @@
 	}
 	o.void = o.next
 	for _, r := range o.runs {
-		o.finishLocked(r, worker.Lapsed)
+		o.finishLocked(r, worker.LeaseExpired)
 	}
 }
 
@@ -286,16 +286,16 @@
 
 // tail returns the tail of the answers of a serving task. The lock is held.
 func (o *Worker) tail(r *running) time.Duration {
-	if r.step.Target == 0 {
+	if r.step.LatencyObjective == 0 {
 		return 0
 	}
 	share := restTail
 	for _, u := range o.runs {
-		if u.step.Filling {
+		if u.step.Backfill {
 			share += fillTail * float64(u.pace) / whole
 		}
 	}
-	return time.Duration(share * float64(r.step.Target))
+	return time.Duration(share * float64(r.step.LatencyObjective))
 }
 
 // checkHarm notes for how long what fills keeps a serving task over its target. The
@@ -303,7 +303,7 @@
 func (o *Worker) checkHarm() {
 	over := false
 	for _, r := range o.runs {
-		over = over || r.step.Target > 0 && o.tail(r) > r.step.Target
+		over = over || r.step.LatencyObjective > 0 && o.tail(r) > r.step.LatencyObjective
 	}
 	switch {
 	case !over:
--- a/tests/target_test.go
+++ b/tests/target_test.go
@@ -108,7 +108,7 @@
 	getJSON(ts, "http://"+w.standin+"/instances", &list)
 	boots := make(map[string]int)
 	for _, l := range list.Workers {
-		boots[l.ID] = l.Boot
+		boots[l.ID] = l.BootCount
 	}
 	return boots
 }
