--- a/adapters/noderpc/client.go
+++ b/adapters/noderpc/client.go
@@ -32,12 +32,12 @@
 	Found func(address string, after time.Duration)
 
 	once  sync.Once
-	conns rpcconn.Table
+	conns rpcconn.Client
 }
 
 // table returns the connections, set up at the first use.
-func (c *Client) table() *rpcconn.Table {
-	c.once.Do(func() { c.conns.Dial, c.conns.Logger, c.conns.Found = c.dial, &c.Logger, c.Found })
+func (c *Client) table() *rpcconn.Client {
+	c.once.Do(func() { c.conns.Dial, c.conns.Logger, c.conns.OnUnresponsive = c.dial, &c.Logger, c.Found })
 	return &c.conns
 }
 
@@ -47,7 +47,7 @@
 func (c *Client) Call(ctx context.Context, address, method string, params, result any) error {
 	err := c.table().Call(ctx, address, method, params, result)
 	var refused *jsonrpc2.Error
-	var unreached rpcconn.Unreached
+	var unreached rpcconn.ConnectError
 	switch {
 	case err == nil:
 		return nil
--- a/adapters/noderpc/client_test.go
+++ b/adapters/noderpc/client_test.go
@@ -27,7 +27,7 @@
 	far, err := l.Accept()
 	assert.NilError(t, err)
 	defer far.Close() //nolint:errcheck // the test is over
-	var end silence.End
+	var end silence.Endpoint
 	end.Track(raw).Reset()
 	_, err = far.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, syscall.ECONNRESET)
@@ -38,8 +38,8 @@
 func TestTimeToComeBackPassesBetweenNodes(t *testing.T) {
 	e := errkind.Of(kindOf(codeOf(errkind.NewRetry(errkind.Overloaded, 3*time.Second, "full"))))
 	assert.Equal(t, e.Kind, errkind.Overloaded)
-	assert.Equal(t, e.After(), 3*time.Second)
+	assert.Equal(t, e.RetryDelay(), 3*time.Second)
 	e = errkind.Of(kindOf(codeOf(errkind.New(errkind.Gone, "no job"))))
 	assert.Equal(t, e.Kind, errkind.Gone)
-	assert.Equal(t, e.After(), time.Duration(0))
+	assert.Equal(t, e.RetryDelay(), time.Duration(0))
 }
--- a/adapters/peerrpc/client.go
+++ b/adapters/peerrpc/client.go
@@ -34,11 +34,11 @@
 	Logger  log.Logger
 
 	once  sync.Once
-	conns rpcconn.Table
+	conns rpcconn.Client
 }
 
 // table returns the connections, set up at the first use.
-func (c *Client) table() *rpcconn.Table {
+func (c *Client) table() *rpcconn.Client {
 	c.once.Do(func() { c.conns.Dial, c.conns.Logger = c.dial, &c.Logger })
 	return &c.conns
 }
--- a/benchmarks/cluster_test.go
+++ b/benchmarks/cluster_test.go
@@ -23,7 +23,7 @@
 
 // cluster is a stand-in with targets and some entries, in this process.
 type cluster struct {
-	platform *standin.Running
+	platform *standin.RunningServer
 	daemons  []*daemon.Daemon
 	client   *http.Client
 }
@@ -99,8 +99,8 @@
 	s.Listen = setting.Listen{Callers: "127.0.0.1:0", Admin: "127.0.0.1:0", Peers: "127.0.0.1:0"}
 	s.Platform.URL = "http://" + c.platform.Address
 	s.Peers.Insecure = true
-	s.Limits.Entries = max(entries, s.Limits.Entries)
-	s.Limits.Withdraw = 0
+	s.Limits.MaxEntries = max(entries, s.Limits.MaxEntries)
+	s.Limits.ShutdownDelay = 0
 	c.platform.Server.Platform.SetEntry(s.Entry.Name, true)
 	d, err := daemon.Start(context.Background(), s, log.Nop())
 	if err != nil {
@@ -139,7 +139,7 @@
 func (c *cluster) maxSlots() int {
 	most := 0
 	for _, t := range c.platform.Server.Targets {
-		most = max(most, t.Journal().MaxInFlight)
+		most = max(most, t.Stats().MaxInFlight)
 	}
 	return most
 }
--- a/benchmarks/control_test.go
+++ b/benchmarks/control_test.go
@@ -34,7 +34,7 @@
 	for _, d := range c.daemons {
 		m := d.Entry.Metrics
 		u.peer += m.PeerIn.Count() + m.PeerOut.Count()
-		u.other += m.LogIn.Count() + m.LogOut.Count()
+		u.other += m.PlatformIn.Count() + m.PlatformOut.Count()
 	}
 	return u
 }
@@ -155,11 +155,11 @@
 			}
 			m := metrics.New()
 			client := platformhttp.New("http://"+c.platform.Address, "benchmark", m)
-			before := m.LogIn.Count()
+			before := m.PlatformIn.Count()
 			if _, err := client.Tasks().Reports(b.Context(), 0); err != nil {
 				b.Fatal(err)
 			}
-			b.ReportMetric(float64(m.LogIn.Count()-before), "platform-B")
+			b.ReportMetric(float64(m.PlatformIn.Count()-before), "platform-B")
 		})
 	}
 }
--- a/benchmarks/place_test.go
+++ b/benchmarks/place_test.go
@@ -169,7 +169,7 @@
 		}
 		w.step()
 		for id, since := range submitted {
-			if w.platform.Starts(id) > 0 {
+			if w.platform.StartCount(id) > 0 {
 				waits = append(waits, w.now.Sub(since).Seconds())
 				delete(submitted, id)
 			}
@@ -256,7 +256,7 @@
 // usage returns the part of the pools' processors in use, and the part of their
 // workers on which tasks want more processors than there are.
 func (w *workshop) usage() (used, crowded float64) {
-	wanted := w.platform.Wanted()
+	wanted := w.platform.WantedCores()
 	cores, workers := 0, 0
 	for id, i := range w.s.Instances.All() {
 		if i.Pool == manifest.SparePool || i.Worker.Condition != fleet.Live {
--- a/benchmarks/promises_test.go
+++ b/benchmarks/promises_test.go
@@ -60,7 +60,7 @@
 func (c *cluster) busyWorker() string {
 	for {
 		for worker, t := range c.platform.Server.Targets {
-			if time.Since(t.Journal().LastStart) < 20*time.Millisecond {
+			if time.Since(t.Stats().LastStart) < 20*time.Millisecond {
 				return worker
 			}
 		}
@@ -81,7 +81,7 @@
 	at := time.Now()
 	set(fleet.Leaving)
 	time.Sleep(3 * time.Second)
-	last := target.Journal().LastStart
+	last := target.Stats().LastStart
 	set(fleet.Live)
 	// Random, or the trials would keep step with the readings of the list.
 	time.Sleep(time.Second + rand.N(time.Second))
@@ -100,7 +100,7 @@
 	}
 	most := 0
 	for _, t := range c.platform.Server.Targets {
-		for _, n := range t.Journal().Runs {
+		for _, n := range t.Stats().Runs {
 			most = max(most, n)
 		}
 	}
--- a/cmd/cmd.go
+++ b/cmd/cmd.go
@@ -29,7 +29,7 @@
 type console struct {
 	out     io.Writer
 	err     io.Writer
-	lines   *log.Queue // the log, on the second output unless the command has its own
+	lines   *log.AsyncWriter // the log, on the second output unless the command has its own
 	signals *watch
 }
 
@@ -69,7 +69,7 @@
 
 // Main runs the subcommand that the arguments name and returns the exit code.
 func Main(args []string, out, errOut io.Writer) int {
-	lines := &log.Queue{Target: errOut}
+	lines := &log.AsyncWriter{Output: errOut}
 	defer lines.Flush()
 	logger, err := log.New(lines, "info", "yardbridge")
 	if err != nil { // the level is one of the list
@@ -100,7 +100,7 @@
 	flags := flag.NewFlagSet("yardbridge "+k.name, flag.ContinueOnError)
 	flags.SetOutput(c.err)
 	if k.process {
-		signals.KeepOutput()
+		signals.IgnoreSIGPIPE()
 	} else {
 		c.signals.serving(nil, nil)
 	}
--- a/cmd/job.go
+++ b/cmd/job.go
@@ -101,8 +101,8 @@
 	if err := parse(flags, args, "[flags]", 0, 0); err != nil {
 		return err
 	}
-	if *life <= 0 || *life > oncekey.MaxLife {
-		return usageError{"-life must be above 0 and at most " + oncekey.MaxLife.String()}
+	if *life <= 0 || *life > oncekey.MaxLifetime {
+		return usageError{"-life must be above 0 and at most " + oncekey.MaxLifetime.String()}
 	}
 	c.say("%s", oncekey.New(time.Now().Add(*life)))
 	return nil
--- a/cmd/node.go
+++ b/cmd/node.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	lines := &log.Queue{Target: c.out}
+	lines := &log.AsyncWriter{Output: c.out}
 	defer lines.Flush()
 	logger, err := log.New(lines, s.Log.Level, s.Node.Name)
 	if err != nil {
@@ -78,9 +78,9 @@
 	setting setting.Node
 	logger  log.Logger
 	meter   *measure.Meter
-	callers *httpserve.Surface
-	ready   *httpserve.Surface
-	metrics *httpserve.Surface // nil for none
+	callers *httpserve.Server
+	ready   *httpserve.Server
+	metrics *httpserve.Server // nil for none
 }
 
 func openNode(s setting.Node, logger log.Logger) (*nodeProcess, error) {
@@ -111,7 +111,7 @@
 // machineClock returns the machine's clock, which counts the time for which the machine is
 // suspended where it tells that.
 func machineClock(logger log.Logger) clock.Clock {
-	c, err := clock.NewSuspendable(clock.SinceBoot, time.Now, func(d time.Duration, err error) {
+	c, err := clock.NewSuspendAware(clock.SinceBoot, time.Now, func(d time.Duration, err error) {
 		if err != nil {
 			logger.Warn().Str("event", "suspended").Err(err).Msg("whether the machine was suspended is not known")
 			return
@@ -139,11 +139,11 @@
 
 // open opens the addresses for callers, for the platform's question and for figures.
 func (p *nodeProcess) open() error {
-	p.callers = &httpserve.Surface{
-		Handler:     &platform.Callers{Gateway: p.node.Gateway, Logger: p.logger, Meter: p.meter},
-		Connections: callerConnections, Newer: p.callerTimes, Quiet: noticeSpan,
+	p.callers = &httpserve.Server{
+		Handler:        &platform.CallerHandler{Gateway: p.node.Gateway, Logger: p.logger, Meter: p.meter},
+		MaxConnections: callerConnections, CurrentTimeouts: p.callerTimes, IdleGrace: noticeSpan,
 	}
-	p.ready = &httpserve.Surface{Handler: http.HandlerFunc(p.serveReady)}
+	p.ready = &httpserve.Server{Handler: http.HandlerFunc(p.serveReady)}
 	listen := p.setting.Listen
 	if err := serveAt(p.callers, listen.Callers); err != nil {
 		return errors.Annotate(err, "address for callers")
@@ -151,13 +151,13 @@
 	if err := serveAt(p.ready, listen.Ready); err != nil {
 		return errors.Annotate(err, "address for the platform's question")
 	}
-	if listen.Metrics == 0 {
+	if listen.MetricsPort == 0 {
 		return nil
 	}
-	figures := &httpserve.Surface{Handler: p.figures()}
-	if err := serveAt(figures, p.setting.Figures()); err != nil {
+	figures := &httpserve.Server{Handler: p.figures()}
+	if err := serveAt(figures, p.setting.MetricsAddress()); err != nil {
 		// Callers are served without figures, too.
-		p.logger.Error().Str("event", "listen").Str("address", p.setting.Figures()).Err(err).Msg("the figures can't be served")
+		p.logger.Error().Str("event", "listen").Str("address", p.setting.MetricsAddress()).Err(err).Msg("the figures can't be served")
 		return nil
 	}
 	p.metrics = figures
@@ -165,8 +165,8 @@
 }
 
 // serveAt opens the address of a surface.
-func serveAt(s *httpserve.Surface, address string) error {
-	s.HeaderBytes, s.ReadTimeout, s.IdleTimeout = headerBytes, readTimeout, idleTimeout
+func serveAt(s *httpserve.Server, address string) error {
+	s.MaxHeaderBytes, s.ReadTimeout, s.IdleTimeout = headerBytes, readTimeout, idleTimeout
 	_, err := s.Listen(address)
 	return err
 }
@@ -237,11 +237,11 @@
 // stop hands the node's pools over and has each surface end with the answers to what
 // it has taken.
 func (p *nodeProcess) stop(ctx context.Context) {
-	grace := p.setting.Bounds.Grace.Std()
+	grace := p.setting.Bounds.ShutdownGrace.Std()
 	bounded, end := context.WithTimeout(ctx, share(grace, stopShare))
 	defer end()
 	// Callers that stay are told to turn elsewhere with their next answer.
-	p.callers.Retire()
+	p.callers.DisableKeepAlives()
 	handed := make(chan struct{})
 	go p.handOver(bounded, handed)
 	select {
--- a/cmd/node_clients.go
+++ b/cmd/node_clients.go
@@ -22,7 +22,7 @@
 // to returns a client of an address, which counts under the name of a destination.
 func (c clients) to(name, address string) *httpconn.Client {
 	found, repeated := c.meter.Channels(name)
-	return &httpconn.Client{Address: address, Repeated: repeated, Found: func(n int, after time.Duration) {
+	return &httpconn.Client{Address: address, OnRetry: repeated, OnUnresponsive: func(n int, after time.Duration) {
 		found(n, after)
 		c.logger.Warn().Str("event", "silent").Str("to", name).Str("address", address).Int("channels", n).Dur("after", after).
 			Msg("channels had fallen silent and are closed: a fresh one has answered what got no answer on them")
@@ -33,7 +33,7 @@
 // be read are counted, and the first is logged: the list is read eight times a second.
 func (c clients) instances(address string) *platform.Instances {
 	var first sync.Once
-	return &platform.Instances{Client: c.to("instances", address), Unread: func(err error) {
+	return &platform.Instances{Client: c.to("instances", address), OnUnreadable: func(err error) {
 		c.meter.Count("instances.unread")
 		first.Do(func() {
 			c.logger.Error().Str("event", "instances").Err(err).Str("outcome", "passed over").Msg("a row of the list of instances can't be read")
--- a/cmd/node_settings_test.go
+++ b/cmd/node_settings_test.go
@@ -82,7 +82,7 @@
 	<-waits
 	write(strings.Replace(nodeSettings, `grace = "6s"`, `grace = "9s"`, 1))
 	tick <- time.Time{}
-	assert.Equal(t, (<-taken).Bounds.Grace.Std(), 9*time.Second)
+	assert.Equal(t, (<-taken).Bounds.ShutdownGrace.Std(), 9*time.Second)
 
 	<-waits
 	write(strings.Replace(nodeSettings, `grace = "6s"`, `grace = "soon"`, 1))
@@ -91,7 +91,7 @@
 	<-waits
 	write(nodeSettings)
 	hangup <- struct{}{}
-	assert.Equal(t, (<-taken).Bounds.Grace.Std(), 6*time.Second)
+	assert.Equal(t, (<-taken).Bounds.ShutdownGrace.Std(), 6*time.Second)
 	<-waits
 	cancel()
 	<-ended
--- a/cmd/standalone.go
+++ b/cmd/standalone.go
@@ -85,13 +85,13 @@
 	return nil
 }
 
-func startEntry(ctx context.Context, s *standin.Running, n int, hall string, port int, logger log.Logger) (*daemon.Daemon, error) {
+func startEntry(ctx context.Context, s *standin.RunningServer, n int, hall string, port int, logger log.Logger) (*daemon.Daemon, error) {
 	set := setting.Default()
 	set.Entry = setting.Entry{Name: fmt.Sprintf("entry-%d", n+1), Hall: hall, DataCenter: "local"}
 	set.Listen = setting.Listen{Callers: loopback(port, n), Admin: loopback(port, n+10), Peers: loopback(port, n+20)}
 	set.Platform.URL = "http://" + s.Address
 	set.Peers.Insecure = true
-	set.Limits.Withdraw = 0
+	set.Limits.ShutdownDelay = 0
 	set.Tokens = []setting.Token{{Name: "operator", Secret: standaloneToken}}
 	s.Server.Platform.SetEntry(set.Entry.Name, true)
 	return daemon.Start(ctx, set, logger)
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -17,7 +17,7 @@
 
 // Dump is the state of the process, without secrets.
 type Dump struct {
-	Setting    setting.Setting                   `json:"setting"`
+	Setting    setting.Settings                  `json:"setting"`
 	Offset     uint64                            `json:"offset"`
 	LogTime    time.Time                         `json:"log_time"`
 	Contact    time.Time                         `json:"contact"`
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -40,7 +40,7 @@
 
 // Entry is one entry process; New makes it, Start and Run bring it to life.
 type Entry struct {
-	Setting  setting.Setting
+	Setting  setting.Settings
 	Clock    clock.Clock
 	Logger   log.Logger
 	Metrics  *metrics.Set
@@ -62,8 +62,8 @@
 	client *peerrpc.Client
 	pokes  chan pokeTo
 
-	newer  atomic.Pointer[setting.Setting] // the settings in force, nil for those of the start
-	listen setting.Listen                  // as the settings of the start said
+	newer  atomic.Pointer[setting.Settings] // the settings in force, nil for those of the start
+	listen setting.Listen                   // as the settings of the start said
 
 	mu    sync.Mutex
 	ready bool
@@ -88,7 +88,7 @@
 
 // New puts an entry together; it opens its address for peers, but does nothing
 // else yet.
-func New(s setting.Setting, ports Ports, m *metrics.Set, c clock.Clock, logger log.Logger) (*Entry, error) {
+func New(s setting.Settings, ports Ports, m *metrics.Set, c clock.Clock, logger log.Logger) (*Entry, error) {
 	e := &Entry{
 		Setting: s,
 		Clock:   c,
@@ -191,7 +191,7 @@
 		Desk:      desk,
 		Metrics:   e.Metrics,
 		Leaving:   e.leaving,
-		IdleConns: l.IdleConns(),
+		IdleConns: l.MaxIdleConns(),
 		MaxBody:   l.BodyBytes,
 	}
 	e.Rollout = &rollout.Service{
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -8,11 +8,11 @@
 // Reload takes over newer settings: the tokens, the seeds and the times that are
 // looked up at each use. It returns the keys of the others that differ, which are
 // taken up at the next start.
-func (e *Entry) Reload(s setting.Setting) (restart []string) {
+func (e *Entry) Reload(s setting.Settings) (restart []string) {
 	newer := e.Setting
 	newer.Tokens, newer.Peers.Seeds = s.Tokens, s.Peers.Seeds
-	newer.Limits.Withdraw, newer.Limits.Stale = s.Limits.Withdraw, s.Limits.Stale
-	newer.Limits.Connections = s.Limits.Connections
+	newer.Limits.ShutdownDelay, newer.Limits.StaleAfter = s.Limits.ShutdownDelay, s.Limits.StaleAfter
+	newer.Limits.MaxConnections = s.Limits.MaxConnections
 	e.newer.Store(&newer)
 	known := newer
 	known.Listen = e.listen // as the file said, and not as the system gave it
@@ -20,7 +20,7 @@
 }
 
 // Current returns the settings in force.
-func (e *Entry) Current() setting.Setting {
+func (e *Entry) Current() setting.Settings {
 	if newer := e.newer.Load(); newer != nil {
 		return *newer
 	}
--- a/entry/run.go
+++ b/entry/run.go
@@ -180,7 +180,7 @@
 		return errors.Trace(ErrDeposed)
 	}
 	age := e.Clock.Now().Sub(e.Ledger.LastContact())
-	if age > e.Current().Limits.Stale.Std() {
+	if age > e.Current().Limits.StaleAfter.Std() {
 		return errkind.New(errkind.LogUnavailable, "neither the log nor a peer that is fresh enough was reached for %s", age.Round(time.Second))
 	}
 	return nil
--- a/modules/clock/clock.go
+++ b/modules/clock/clock.go
@@ -7,25 +7,25 @@
 
 // Clock tells the time; its zero value is the machine's clock.
 type Clock struct {
-	NowFunc   func() time.Time
-	AfterFunc func(time.Duration) <-chan time.Time
-	AheadFunc func() time.Duration
+	NowFunc       func() time.Time
+	AfterFunc     func(time.Duration) <-chan time.Time
+	SuspendedFunc func() time.Duration
 }
 
-// Ahead returns by how much the time of day of Now is ahead: for as long as the machine
+// Suspended returns by how much the time of day of Now is ahead: for as long as the machine
 // was suspended.
-func (c Clock) Ahead() time.Duration {
-	if c.AheadFunc == nil {
+func (c Clock) Suspended() time.Duration {
+	if c.SuspendedFunc == nil {
 		return 0
 	}
-	return c.AheadFunc()
+	return c.SuspendedFunc()
 }
 
-// Date returns the time of day at a moment that Now has told.
-func (c Clock) Date(t time.Time) time.Time { return t.Add(-c.Ahead()) }
+// WallTime returns the time of day at a moment that Now has told.
+func (c Clock) WallTime(t time.Time) time.Time { return t.Add(-c.Suspended()) }
 
-// At returns what Now tells at a time of day.
-func (c Clock) At(date time.Time) time.Time { return date.Add(c.Ahead()) }
+// FromWallTime returns what Now tells at a time of day.
+func (c Clock) FromWallTime(date time.Time) time.Time { return date.Add(c.Suspended()) }
 
 // Now returns the current time.
 func (c Clock) Now() time.Time {
--- a/modules/clock/suspend.go
+++ b/modules/clock/suspend.go
@@ -21,13 +21,13 @@
 	usualPeriod = time.Second
 )
 
-// Suspendable is a clock that counts the time for which the machine was suspended, which
+// SuspendAware is a clock that counts the time for which the machine was suspended, which
 // the steady clock of a process does not: a lease, a permission or the age of what is known
 // would be taken for too young after it. NewSuspendable makes one.
-type Suspendable struct {
-	// Period is how often a suspension is looked for though the time of day does not tell
+type SuspendAware struct {
+	// CheckInterval is how often a suspension is looked for though the time of day does not tell
 	// of one, 0 for each second.
-	Period time.Duration
+	CheckInterval time.Duration
 
 	boot  func() (time.Duration, error) // the time since the machine was started, with that for which it was suspended
 	now   func() time.Time
@@ -40,39 +40,39 @@
 	lost   atomic.Int64 // for how long the machine was suspended in all, in nanoseconds
 }
 
-// NewSuspendable returns a clock on the machine's own, which tells found of each suspension
+// NewSuspendAware returns a clock on the machine's own, which tells found of each suspension
 // and of why one can't be looked for.
-func NewSuspendable(boot func() (time.Duration, error), now func() time.Time, found func(d time.Duration, err error)) (*Suspendable, error) {
+func NewSuspendAware(boot func() (time.Duration, error), now func() time.Time, found func(d time.Duration, err error)) (*SuspendAware, error) {
 	at, err := boot()
 	if err != nil {
 		return nil, err
 	}
-	return &Suspendable{boot: boot, now: now, found: found, began: now(), bootAt: at}, nil
+	return &SuspendAware{boot: boot, now: now, found: found, began: now(), bootAt: at}, nil
 }
 
 // Clock returns the seam that reads the clock.
-func (s *Suspendable) Clock() Clock { return Clock{NowFunc: s.Now, AheadFunc: s.Ahead} }
+func (s *SuspendAware) Clock() Clock { return Clock{NowFunc: s.Now, SuspendedFunc: s.Suspended} }
 
 // Now returns the time, by which the difference of two readings is what has passed, also
 // while the machine was suspended. Its time of day is ahead by Ahead.
-func (s *Suspendable) Now() time.Time {
+func (s *SuspendAware) Now() time.Time {
 	now := s.now()
 	steady := now.Sub(s.began)
 	ahead := now.Round(0).Sub(s.began.Round(0)) - steady
 	jump := ahead - time.Duration(s.ahead.Swap(int64(ahead)))
-	if jump > jumpLeast || steady-time.Duration(s.looked.Load()) > cmp.Or(s.Period, usualPeriod) {
+	if jump > jumpLeast || steady-time.Duration(s.looked.Load()) > cmp.Or(s.CheckInterval, usualPeriod) {
 		s.look()
 	}
-	return now.Add(s.Ahead())
+	return now.Add(s.Suspended())
 }
 
-// Ahead returns for how long the machine was suspended in all, as far as was found.
-func (s *Suspendable) Ahead() time.Duration { return time.Duration(s.lost.Load()) }
+// Suspended returns for how long the machine was suspended in all, as far as was found.
+func (s *SuspendAware) Suspended() time.Duration { return time.Duration(s.lost.Load()) }
 
 // look finds out whether the machine was suspended since the last look. The steady clock
 // is read last: a process that is held up between the two finds less, and never a
 // suspension that was none.
-func (s *Suspendable) look() {
+func (s *SuspendAware) look() {
 	at, err := s.boot()
 	steady := s.now().Sub(s.began)
 	s.looked.Store(int64(steady))
--- a/modules/clock/suspend_test.go
+++ b/modules/clock/suspend_test.go
@@ -24,9 +24,9 @@
 
 // clock returns a clock on the machine. The steady part of its readings can't be set apart
 // from the time of day, so the reading stands for the steady clock and what it loses.
-func (m *machine) clock(t *testing.T) *Suspendable {
+func (m *machine) clock(t *testing.T) *SuspendAware {
 	t.Helper()
-	s, err := NewSuspendable(
+	s, err := NewSuspendAware(
 		func() (time.Duration, error) { return m.boot, m.fails },
 		func() time.Time { return start.Add(m.steady) },
 		func(d time.Duration, err error) {
@@ -58,8 +58,8 @@
 	m.boot += 4 * time.Second
 	after := c.Now()
 	assert.Equal(t, after.Sub(before), usualPeriod+time.Millisecond+4*time.Second)
-	assert.Equal(t, c.Date(after).Sub(before), usualPeriod+time.Millisecond)
-	assert.Assert(t, c.At(c.Date(after)).Equal(after))
+	assert.Equal(t, c.WallTime(after).Sub(before), usualPeriod+time.Millisecond)
+	assert.Assert(t, c.FromWallTime(c.WallTime(after)).Equal(after))
 	assert.DeepEqual(t, m.found, []time.Duration{4 * time.Second})
 }
 
--- a/modules/errkind/answer.go
+++ b/modules/errkind/answer.go
@@ -22,7 +22,7 @@
 // Write answers an HTTP request with the table row of err's kind.
 func Write(w http.ResponseWriter, requestID string, err error) {
 	e := Of(err)
-	row := e.Kind.Answer()
+	row := e.Kind.Response()
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set(HeaderKind, row.Name)
@@ -30,7 +30,7 @@
 	if e.Kind == Unauthorized {
 		header.Set("WWW-Authenticate", bearer.Scheme)
 	}
-	if after := e.After(); after > 0 {
+	if after := e.RetryDelay(); after > 0 {
 		header.Set("Retry-After", strconv.Itoa(comeBack(after)))
 	}
 	w.WriteHeader(row.Status)
--- a/modules/errkind/errkind.go
+++ b/modules/errkind/errkind.go
@@ -33,7 +33,7 @@
 	LogUnavailable
 	Stopping
 	OutcomeUnknown
-	BadAnswer
+	BadResponse
 	Infeasible
 	TooManyConnections
 	SlowRequest
@@ -53,15 +53,15 @@
 	Ran     Outcome = "ran"
 )
 
-// Answer is the row of the table for one kind.
-type Answer struct {
-	Name    string
-	Status  int
-	Outcome Outcome
-	Retry   time.Duration // default time to come back, 0 for none
+// Response is the row of the table for one kind.
+type Response struct {
+	Name       string
+	Status     int
+	Outcome    Outcome
+	RetryAfter time.Duration // default time to come back, 0 for none
 }
 
-var table = [kindCount]Answer{
+var table = [kindCount]Response{
 	Internal:           {"internal", http.StatusInternalServerError, Unknown, 0},
 	BadRequest:         {"bad-request", http.StatusBadRequest, NotRun, 0},
 	Unauthorized:       {"unauthorized", http.StatusUnauthorized, NotRun, 0},
@@ -78,7 +78,7 @@
 	LogUnavailable:     {"log-unavailable", http.StatusServiceUnavailable, NotRun, 5 * time.Second},
 	Stopping:           {"stopping", http.StatusServiceUnavailable, NotRun, time.Second},
 	OutcomeUnknown:     {"outcome-unknown", http.StatusGatewayTimeout, Unknown, 0},
-	BadAnswer:          {"bad-answer", http.StatusBadGateway, Unknown, 0},
+	BadResponse:        {"bad-answer", http.StatusBadGateway, Unknown, 0},
 	Infeasible:         {"infeasible", http.StatusUnprocessableEntity, NotRun, 0},
 	TooManyConnections: {"too-many-connections", http.StatusServiceUnavailable, NotRun, time.Second},
 	SlowRequest:        {"slow-request", http.StatusRequestTimeout, NotRun, 0},
@@ -96,8 +96,8 @@
 	return kinds
 }
 
-// Answer returns the table row of the kind.
-func (k Kind) Answer() Answer {
+// Response returns the table row of the kind.
+func (k Kind) Response() Response {
 	if k >= kindCount {
 		return table[Internal]
 	}
@@ -105,7 +105,7 @@
 }
 
 // String returns the name that the kind has in answers.
-func (k Kind) String() string { return k.Answer().Name }
+func (k Kind) String() string { return k.Response().Name }
 
 // Parse returns the kind with the given name, and false where there is none.
 func Parse(name string) (Kind, bool) {
@@ -161,10 +161,10 @@
 // IsErrLogUnavailable reports whether err says that the log can't be reached.
 func IsErrLogUnavailable(err error) bool { return Is(err, LogUnavailable) }
 
-// After returns the time to come back, 0 for none.
-func (e *Error) After() time.Duration {
+// RetryDelay returns the time to come back, 0 for none.
+func (e *Error) RetryDelay() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
 	}
-	return e.Kind.Answer().Retry
+	return e.Kind.Response().RetryAfter
 }
--- a/modules/errkind/errkind_test.go
+++ b/modules/errkind/errkind_test.go
@@ -20,7 +20,7 @@
 	data, err := os.ReadFile("../../docs/API.md")
 	assert.NilError(t, err)
 	for _, k := range Kinds() {
-		a := k.Answer()
+		a := k.Response()
 		row := fmt.Sprintf("| %s | %d | %s |", a.Name, a.Status, a.Outcome)
 		assert.Assert(t, strings.Contains(string(data), row), "docs/API.md lacks %q", row)
 		parsed, ok := Parse(a.Name)
--- a/modules/httpconn/httpconn.go
+++ b/modules/httpconn/httpconn.go
@@ -26,15 +26,15 @@
 type Client struct {
 	Address string // IP and port
 	MaxIdle int    // channels kept open without a call, 0 for one
-	// Found is told how many channels were found silent together, and since when they
+	// OnUnresponsive is told how many channels were found silent together, and since when they
 	// had been at least; nil tells nobody.
-	Found func(n int, after time.Duration)
-	// Repeated is told of each call that was to be made again, and whether the budget
+	OnUnresponsive func(n int, after time.Duration)
+	// OnRetry is told of each call that was to be made again, and whether the budget
 	// let it; nil tells nobody.
-	Repeated func(allowed bool)
+	OnRetry func(allowed bool)
 
-	end     silence.End
-	repeats silence.Repeats
+	end     silence.Endpoint
+	repeats silence.RetryPolicy
 
 	mu     sync.Mutex
 	idle   []*channel
@@ -47,11 +47,11 @@
 	Path   string // with the query
 	Header http.Header
 	Body   []byte
-	// Repeatable says that the call may be made twice: where an older channel brings
+	// Idempotent says that the call may be made twice: where an older channel brings
 	// no answer it is made again over a fresh one.
-	Repeatable bool
-	// Hold is how long the far end may hold its answer back, as it was asked to.
-	Hold time.Duration
+	Idempotent bool
+	// ServerWait is how long the far end may hold its answer back, as it was asked to.
+	ServerWait time.Duration
 }
 
 // Response is the answer to a call.
@@ -70,19 +70,19 @@
 		return Response{}, errkind.New(errkind.NoTarget, "%s: %v", c.Address, err)
 	}
 	limit := timeout
-	due := r.Hold + c.repeats.Patience()
-	if r.Repeatable && ch.used {
+	due := r.ServerWait + c.repeats.RetryDelay()
+	if r.Idempotent && ch.used {
 		limit = min(timeout, due)
 	}
-	ch.conn.Await(began.Add(due))
+	ch.conn.ExpectResponse(began.Add(due))
 	response, keep, err := ch.do(ctx, c.Address, r, began.Add(limit))
 	if err == nil {
 		c.answered(ch, keep, r, began)
 		return response, nil
 	}
 	ch.conn.Reset()
-	older := ch.used || ch.conn.Silent() // the channel may be at fault, and not the far end
-	if older && r.Repeatable && ctx.Err() == nil && time.Since(began) < timeout && c.mayRepeat() {
+	older := ch.used || ch.conn.Unresponsive() // the channel may be at fault, and not the far end
+	if older && r.Idempotent && ctx.Err() == nil && time.Since(began) < timeout && c.mayRepeat() {
 		return c.again(ctx, r, began, limit, timeout)
 	}
 	return Response{}, unknown(r, c.Address, err)
@@ -98,15 +98,15 @@
 	if err != nil {
 		return Response{}, unknown(r, c.Address, err) // the first try may have been taken
 	}
-	ch.conn.Await(resent.Add(r.Hold + c.repeats.Patience()))
+	ch.conn.ExpectResponse(resent.Add(r.ServerWait + c.repeats.RetryDelay()))
 	response, keep, err := ch.do(ctx, c.Address, r, began.Add(timeout))
 	if err != nil {
 		ch.conn.Reset()
 		return Response{}, unknown(r, c.Address, err)
 	}
-	c.repeats.Again(resent, r.Hold)
+	c.repeats.RecordRetryResponse(resent, r.ServerWait)
 	if waited {
-		c.found(1+c.end.Answered(ch.conn), began) // the first channel is closed already
+		c.found(1+c.end.ResetOlder(ch.conn), began) // the first channel is closed already
 	}
 	c.answered(ch, keep, r, resent)
 	return response, nil
@@ -114,8 +114,8 @@
 
 // answered keeps a channel whose call was answered for the next one.
 func (c *Client) answered(ch *channel, keep bool, r Request, began time.Time) {
-	c.repeats.Answered(began, r.Hold)
-	ch.conn.Rest()
+	c.repeats.RecordResponse(began, r.ServerWait)
+	ch.conn.ClearExpected()
 	c.put(ch, keep)
 }
 
@@ -126,16 +126,16 @@
 // mayRepeat reports whether the budget lets a call be made again.
 func (c *Client) mayRepeat() bool {
 	allowed := c.repeats.Spend()
-	if c.Repeated != nil {
-		c.Repeated(allowed)
+	if c.OnRetry != nil {
+		c.OnRetry(allowed)
 	}
 	return allowed
 }
 
 // found tells of channels that were found silent.
 func (c *Client) found(n int, began time.Time) {
-	if c.Found != nil {
-		c.Found(n, time.Since(began))
+	if c.OnUnresponsive != nil {
+		c.OnUnresponsive(n, time.Since(began))
 	}
 }
 
@@ -150,8 +150,8 @@
 		switch {
 		case ch == nil:
 			return c.open(ctx)
-		case ch.conn.Silent():
-		case !r.Repeatable && ch.conn.Ended():
+		case ch.conn.Unresponsive():
+		case !r.Idempotent && ch.conn.RemoteClosed():
 			_ = ch.conn.Close() // nothing is under way on it
 		default:
 			ch.used = true
--- a/modules/httpconn/silence_test.go
+++ b/modules/httpconn/silence_test.go
@@ -105,7 +105,7 @@
 func TestACallIsRepeatedWhereItsChannelFellSilent(t *testing.T) {
 	l := serveQuiet(t, answerAtOnce)
 	c := l.client()
-	call := Request{Method: http.MethodGet, Path: "/", Repeatable: true}
+	call := Request{Method: http.MethodGet, Path: "/", Idempotent: true}
 	_, err := c.Do(context.Background(), call, longLimit)
 	assert.NilError(t, err)
 	l.fall()
@@ -159,7 +159,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/", Repeatable: true}, longLimit)
+	_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/", Idempotent: true}, longLimit)
 	assert.NilError(t, err)
 	assert.ErrorContains(t, <-order, "outcome-unknown")
 	assert.Assert(t, time.Since(began) < longLimit/4, "it took %s", time.Since(began))
@@ -177,7 +177,7 @@
 	})
 	c := l.client()
 	c.MaxIdle = 40
-	call := Request{Method: http.MethodGet, Path: "/", Repeatable: true}
+	call := Request{Method: http.MethodGet, Path: "/", Idempotent: true}
 	_, err := c.Do(context.Background(), call, longLimit)
 	assert.NilError(t, err)
 	const calls = 20
@@ -201,7 +201,7 @@
 	})
 	c := l.client()
 	for range 3 {
-		_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/", Repeatable: true, Hold: hold}, longLimit)
+		_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/", Idempotent: true, ServerWait: hold}, longLimit)
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, asked.Load(), int64(3))
@@ -243,7 +243,7 @@
 	both.Wait()
 	first := make(chan error, 1)
 	go func() {
-		_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/held", Repeatable: true, Hold: hold}, longLimit)
+		_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/held", Idempotent: true, ServerWait: hold}, longLimit)
 		first <- err
 	}()
 	<-again
@@ -251,7 +251,7 @@
 	l.mu.Lock()
 	l.conns[len(l.conns)-1].silent.Store(false) // the fresh one works
 	l.mu.Unlock()
-	_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/", Repeatable: true}, longLimit)
+	_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/", Idempotent: true}, longLimit)
 	assert.NilError(t, err)
 	close(release)
 	assert.NilError(t, <-first)
--- a/modules/httpserve/conn.go
+++ b/modules/httpserve/conn.go
@@ -16,7 +16,7 @@
 // of them later, and a stop must know each that the process has.
 type acceptor struct {
 	*net.TCPListener
-	surface  *Surface
+	surface  *Server
 	stopping time.Time // when Accept learnt of the stop
 }
 
@@ -70,7 +70,7 @@
 // conn is a connection of a surface.
 type conn struct {
 	*net.TCPConn
-	surface *Surface
+	surface *Server
 	closed  sync.Once
 
 	mu    sync.Mutex
--- a/modules/httpserve/httpserve.go
+++ b/modules/httpserve/httpserve.go
@@ -20,17 +20,17 @@
 	"github.com/yardbridge/yardbridge/modules/inflight"
 )
 
-// Surface is one HTTP address.
-type Surface struct {
-	Handler     http.Handler
-	HeaderBytes int
-	ReadTimeout time.Duration // for headers and body
-	IdleTimeout time.Duration // between requests, 0 for no limit
-	Connections int           // at once, 0 for no limit
-	Quiet       time.Duration // that kept connections are waited for in a stop, 0 for a second
-	// Newer returns shorter times than those above for what comes from now on, 0 for
+// Server is one HTTP address.
+type Server struct {
+	Handler        http.Handler
+	MaxHeaderBytes int
+	ReadTimeout    time.Duration // for headers and body
+	IdleTimeout    time.Duration // between requests, 0 for no limit
+	MaxConnections int           // at once, 0 for no limit
+	IdleGrace      time.Duration // that kept connections are waited for in a stop, 0 for a second
+	// CurrentTimeouts returns shorter times than those above for what comes from now on, 0 for
 	// those above; nil does so always.
-	Newer func() (header, idle time.Duration)
+	CurrentTimeouts func() (header, idle time.Duration)
 
 	server   *http.Server
 	listener *acceptor
@@ -51,7 +51,7 @@
 type tooMany struct{}
 
 // Listen opens the address and returns the one it got.
-func (s *Surface) Listen(address string) (string, error) {
+func (s *Server) Listen(address string) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", errors.Trace(err)
@@ -64,7 +64,7 @@
 		Handler:           http.HandlerFunc(s.serve),
 		ReadHeaderTimeout: s.ReadTimeout,
 		IdleTimeout:       s.IdleTimeout,
-		MaxHeaderBytes:    s.HeaderBytes,
+		MaxHeaderBytes:    s.MaxHeaderBytes,
 		ConnState:         enter,
 		ConnContext:       s.mark,
 		BaseContext:       func(net.Listener) context.Context { return s.requests },
@@ -76,7 +76,7 @@
 func enter(c net.Conn, state http.ConnState) { c.(*conn).enter(state) }
 
 // Run serves until the surface is shut down.
-func (s *Surface) Run(context.Context) {
+func (s *Server) Run(context.Context) {
 	s.mu.Lock()
 	stopping := s.stopping
 	s.running = !stopping
@@ -109,8 +109,8 @@
 // drops a request that it has read when it begins before the handler is called, and
 // closes kept connections while a request is on its way. Once the context ends,
 // requests are told to give up, and what has not ended soon after is cut off.
-func (s *Surface) Shutdown(ctx context.Context) error {
-	s.Retire()
+func (s *Server) Shutdown(ctx context.Context) error {
+	s.DisableKeepAlives()
 	s.awaitKept(ctx)
 	s.endListening(ctx)
 	defer s.giveUp()
@@ -130,7 +130,7 @@
 
 // awaitKept ends kept connections as they become quiet, and returns once there is none
 // or the context ends.
-func (s *Surface) awaitKept(ctx context.Context) {
+func (s *Server) awaitKept(ctx context.Context) {
 	began := time.Now()
 	ticker := time.NewTicker(quietLook)
 	defer ticker.Stop()
@@ -144,7 +144,7 @@
 }
 
 // endListening takes the connections that wait, and listens no more.
-func (s *Surface) endListening(ctx context.Context) {
+func (s *Server) endListening(ctx context.Context) {
 	s.mu.Lock()
 	s.stopping = true
 	running := s.running
@@ -162,7 +162,7 @@
 
 // awaitEnds ends connections as they become quiet, and returns whether all have ended
 // before the context does.
-func (s *Surface) awaitEnds(ctx context.Context) bool {
+func (s *Server) awaitEnds(ctx context.Context) bool {
 	began, gone := time.Now(), s.held.Idle()
 	ticker := time.NewTicker(quietLook)
 	defer ticker.Stop()
@@ -181,7 +181,7 @@
 // endQuiet ends the kept connections on which nothing has come for long in a stop that
 // began at a time, and returns how many are kept. Once requests are told to give up, it
 // ends all on which nothing has come.
-func (s *Surface) endQuiet(began time.Time) (kept int) {
+func (s *Server) endQuiet(began time.Time) (kept int) {
 	since := time.Now().Add(-s.span())
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,12 +200,12 @@
 }
 
 // span returns how long kept connections are waited for.
-func (s *Surface) span() time.Duration {
-	return cmp.Or(s.Quiet, quietSpan)
+func (s *Server) span() time.Duration {
+	return cmp.Or(s.IdleGrace, quietSpan)
 }
 
 // Close ends the surface at once.
-func (s *Surface) Close() error {
+func (s *Server) Close() error {
 	s.mu.Lock()
 	s.stopping = true
 	s.mu.Unlock()
@@ -217,12 +217,12 @@
 	return nil
 }
 
-// Retire lets each connection end with its next answer, so that callers turn
+// DisableKeepAlives lets each connection end with its next answer, so that callers turn
 // elsewhere without losing a request.
-func (s *Surface) Retire() { s.closing.Store(true) }
+func (s *Server) DisableKeepAlives() { s.closing.Store(true) }
 
 // hold takes a connection that was accepted.
-func (s *Surface) hold(raw *net.TCPConn) *conn {
+func (s *Server) hold(raw *net.TCPConn) *conn {
 	c := &conn{TCPConn: raw, surface: s}
 	s.held.Begin()
 	s.mu.Lock()
@@ -232,7 +232,7 @@
 }
 
 // release gives a connection up that is closed.
-func (s *Surface) release(c *conn) {
+func (s *Server) release(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
@@ -240,7 +240,7 @@
 }
 
 // open returns how many connections there are.
-func (s *Surface) open() int {
+func (s *Server) open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -248,37 +248,37 @@
 
 // patience returns the bound of what a connection waits for, 0 for none but the
 // server's.
-func (s *Surface) patience(p phase) time.Duration {
-	if s.Newer == nil || p == serving {
+func (s *Server) patience(p phase) time.Duration {
+	if s.CurrentTimeouts == nil || p == serving {
 		return 0
 	}
-	header, rest := s.Newer()
+	header, rest := s.CurrentTimeouts()
 	if p == idle {
 		return rest
 	}
 	return header
 }
 
-// Limit sets how many connections there may be at once from now on.
-func (s *Surface) Limit(connections int) { s.limit.Store(int64(connections)) }
+// SetMaxConnections sets how many connections there may be at once from now on.
+func (s *Server) SetMaxConnections(connections int) { s.limit.Store(int64(connections)) }
 
 // most returns how many connections there may be at once, 0 for no limit.
-func (s *Surface) most() int {
+func (s *Server) most() int {
 	if newer := s.limit.Load(); newer > 0 {
 		return int(newer)
 	}
-	return s.Connections
+	return s.MaxConnections
 }
 
 // mark tells a connection beyond the limit.
-func (s *Surface) mark(ctx context.Context, _ net.Conn) context.Context {
+func (s *Server) mark(ctx context.Context, _ net.Conn) context.Context {
 	if most := s.most(); most > 0 && s.open() > most {
 		return context.WithValue(ctx, tooMany{}, true)
 	}
 	return ctx
 }
 
-func (s *Surface) serve(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength != 0 {
 		s.boundBody(w, r)
 	}
@@ -296,7 +296,7 @@
 // connection ends.
 type answer struct {
 	http.ResponseWriter
-	surface *Surface
+	surface *Server
 	begun   bool
 }
 
@@ -324,7 +324,7 @@
 func (a *answer) Unwrap() http.ResponseWriter { return a.ResponseWriter }
 
 // boundBody ends a body that comes too slowly with an error of its reader.
-func (s *Surface) boundBody(w http.ResponseWriter, r *http.Request) {
+func (s *Server) boundBody(w http.ResponseWriter, r *http.Request) {
 	control := http.NewResponseController(w)
 	// A connection without deadlines is one of a test.
 	_ = control.SetReadDeadline(time.Now().Add(s.ReadTimeout))
--- a/modules/httpserve/httpserve_test.go
+++ b/modules/httpserve/httpserve_test.go
@@ -20,7 +20,7 @@
 
 // start serves a surface that answers with the request's body, or with why it
 // could not be read.
-func start(t *testing.T, s *Surface) string {
+func start(t *testing.T, s *Server) string {
 	t.Helper()
 	s.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -51,7 +51,7 @@
 }
 
 func TestTooManyConnections(t *testing.T) {
-	address := start(t, &Surface{Connections: 1, ReadTimeout: time.Minute})
+	address := start(t, &Server{MaxConnections: 1, ReadTimeout: time.Minute})
 	const request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 	assert.Equal(t, exchange(t, address, request).StatusCode, http.StatusOK)
 	second := exchange(t, address, request)
@@ -60,15 +60,15 @@
 }
 
 func TestBodyThatDoesNotCome(t *testing.T) {
-	address := start(t, &Surface{ReadTimeout: 50 * time.Millisecond})
+	address := start(t, &Server{ReadTimeout: 50 * time.Millisecond})
 	answer := exchange(t, address, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
 	assert.Equal(t, answer.Header.Get(errkind.HeaderKind), errkind.SlowRequest.String())
 }
 
 func TestRetiredSurfaceEndsConnections(t *testing.T) {
-	s := &Surface{ReadTimeout: time.Minute}
+	s := &Server{ReadTimeout: time.Minute}
 	address := start(t, s)
-	s.Retire()
+	s.DisableKeepAlives()
 	answer := exchange(t, address, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	assert.Assert(t, answer.Close, "the connection stays open")
 }
@@ -76,7 +76,7 @@
 // TestShutdownLetsTheFirstRequestCome: a caller whose connection was taken gets
 // its answer, however long its first request is on its way.
 func TestShutdownLetsTheFirstRequestCome(t *testing.T) {
-	s := &Surface{ReadTimeout: time.Minute}
+	s := &Server{ReadTimeout: time.Minute}
 	address := start(t, s)
 	c, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
@@ -111,7 +111,7 @@
 
 // stopping is a planned stop under way.
 type stopping struct {
-	s     *Surface
+	s     *Server
 	ended chan error
 }
 
--- a/modules/httpserve/stop_test.go
+++ b/modules/httpserve/stop_test.go
@@ -56,7 +56,7 @@
 }
 
 // shut begins a planned stop.
-func shut(ctx context.Context, s *Surface) chan error {
+func shut(ctx context.Context, s *Server) chan error {
 	ended := make(chan error, 1)
 	go func() { ended <- s.Shutdown(ctx) }()
 	return ended
@@ -65,7 +65,7 @@
 // TestStopAnswersEveryWholeRequest has callers go on using kept connections until
 // they are told that these end: each request has its whole answer.
 func TestStopAnswersEveryWholeRequest(t *testing.T) {
-	s := &Surface{ReadTimeout: time.Minute, Quiet: time.Minute}
+	s := &Server{ReadTimeout: time.Minute, IdleGrace: time.Minute}
 	address := start(t, s)
 	var asked atomic.Int64
 	var tasks sync.WaitGroup
@@ -100,7 +100,7 @@
 // TestStopWaitsForARequestOnAKeptConnection: a caller that can't know of the stop
 // yet has its request answered, and is told with the answer.
 func TestStopWaitsForARequestOnAKeptConnection(t *testing.T) {
-	s := &Surface{ReadTimeout: time.Minute, Quiet: time.Minute}
+	s := &Server{ReadTimeout: time.Minute, IdleGrace: time.Minute}
 	address := start(t, s)
 	c := connect(t, address)
 	assert.NilError(t, c.post("first"))
@@ -138,7 +138,7 @@
 
 // TestStopTakesWhatWaitsToBeAccepted: connections that the system has made are served.
 func TestStopTakesWhatWaitsToBeAccepted(t *testing.T) {
-	s := &Surface{ReadTimeout: time.Minute}
+	s := &Server{ReadTimeout: time.Minute}
 	begun := make(chan struct{})
 	var once sync.Once
 	s.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -168,7 +168,7 @@
 // TestStopTellsRequestsToGiveUp: a request that would take longer than the stop may
 // gets its answer, which says so.
 func TestStopTellsRequestsToGiveUp(t *testing.T) {
-	s := &Surface{ReadTimeout: time.Minute}
+	s := &Server{ReadTimeout: time.Minute}
 	begun := make(chan struct{})
 	s.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		close(begun)
@@ -195,7 +195,7 @@
 // TestStopIsBounded: neither a request that never comes whole nor a silent connection
 // nor a handler that does not listen holds a stop up.
 func TestStopIsBounded(t *testing.T) {
-	s := &Surface{ReadTimeout: time.Hour}
+	s := &Server{ReadTimeout: time.Hour}
 	begun, never := make(chan struct{}), make(chan struct{})
 	s.Handler = http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		close(begun)
@@ -222,7 +222,7 @@
 // TestBodyThatDoesNotComeBeyondTheLimit: a connection that has no place does not stay
 // for a body that never comes.
 func TestBodyThatDoesNotComeBeyondTheLimit(t *testing.T) {
-	address := start(t, &Surface{Connections: 1, ReadTimeout: 50 * time.Millisecond})
+	address := start(t, &Server{MaxConnections: 1, ReadTimeout: 50 * time.Millisecond})
 	first := connect(t, address)
 	assert.NilError(t, first.post("takes the place"))
 	_, _, _, err := first.answer()
@@ -241,7 +241,7 @@
 // TestStopEndsQuietConnections: kept connections on which nothing comes end by
 // themselves, and the stop with them.
 func TestStopEndsQuietConnections(t *testing.T) {
-	s := &Surface{ReadTimeout: time.Minute, Quiet: time.Millisecond}
+	s := &Server{ReadTimeout: time.Minute, IdleGrace: time.Millisecond}
 	address := start(t, s)
 	c := connect(t, address)
 	assert.NilError(t, c.post("only"))
@@ -262,16 +262,16 @@
 	const whole = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 	for _, c := range []struct {
 		name    string
-		surface *Surface
+		surface *Server
 		first   string // answered, if it is not empty
 		then    string
 	}{
-		{"silent", &Surface{ReadTimeout: soon}, "", ""},
-		{"silent, newer", &Surface{ReadTimeout: time.Hour, Newer: newer(soon, 0)}, "", ""},
-		{"half, newer", &Surface{ReadTimeout: time.Hour, Newer: newer(soon, 0)}, "", "GET / HT"},
-		{"idle", &Surface{ReadTimeout: time.Hour, IdleTimeout: soon}, whole, ""},
-		{"idle, newer", &Surface{ReadTimeout: time.Hour, IdleTimeout: time.Hour, Newer: newer(0, soon)}, whole, ""},
-		{"later half, newer", &Surface{ReadTimeout: time.Hour, IdleTimeout: time.Hour, Newer: newer(soon, 0)}, whole, "GET / HTT"},
+		{"silent", &Server{ReadTimeout: soon}, "", ""},
+		{"silent, newer", &Server{ReadTimeout: time.Hour, CurrentTimeouts: newer(soon, 0)}, "", ""},
+		{"half, newer", &Server{ReadTimeout: time.Hour, CurrentTimeouts: newer(soon, 0)}, "", "GET / HT"},
+		{"idle", &Server{ReadTimeout: time.Hour, IdleTimeout: soon}, whole, ""},
+		{"idle, newer", &Server{ReadTimeout: time.Hour, IdleTimeout: time.Hour, CurrentTimeouts: newer(0, soon)}, whole, ""},
+		{"later half, newer", &Server{ReadTimeout: time.Hour, IdleTimeout: time.Hour, CurrentTimeouts: newer(soon, 0)}, whole, "GET / HTT"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			k := connect(t, start(t, c.surface))
--- a/modules/log/queue.go
+++ b/modules/log/queue.go
@@ -17,10 +17,10 @@
 // node's.
 const queueBytes = 1 << 20
 
-// Queue takes lines without ever waiting for where they go: one that finds the
+// AsyncWriter takes lines without ever waiting for where they go: one that finds the
 // queue full is dropped and counted. Its zero value with a target works.
-type Queue struct {
-	Target io.Writer
+type AsyncWriter struct {
+	Output io.Writer
 
 	mu      sync.Mutex
 	waiting []byte
@@ -33,7 +33,7 @@
 }
 
 // Write takes a line.
-func (q *Queue) Write(line []byte) (int, error) {
+func (q *AsyncWriter) Write(line []byte) (int, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.waiting)+len(line) > queueBytes {
@@ -50,7 +50,7 @@
 }
 
 // run writes what waits until nothing does.
-func (q *Queue) run() {
+func (q *AsyncWriter) run() {
 	for {
 		q.mu.Lock()
 		lines, dropped, torn := q.waiting, q.dropped, q.torn
@@ -88,9 +88,9 @@
 
 // put writes lines whole. What can't be written has nowhere to say so but the
 // count of what was dropped, and a line that is cut off is ended.
-func (q *Queue) put(lines []byte) {
+func (q *AsyncWriter) put(lines []byte) {
 	for try := 0; len(lines) > 0; {
-		n, err := q.Target.Write(firstLines(lines))
+		n, err := q.Output.Write(firstLines(lines))
 		lines = lines[n:]
 		switch {
 		case err == nil:
@@ -116,7 +116,7 @@
 }
 
 // cutOff counts the lines that were not written whole.
-func (q *Queue) cutOff(rest []byte) {
+func (q *AsyncWriter) cutOff(rest []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n := bytes.Count(rest, []byte{'\n'})
@@ -126,7 +126,7 @@
 }
 
 // Dropped returns how many lines were dropped since the start.
-func (q *Queue) Dropped() int64 {
+func (q *AsyncWriter) Dropped() int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.lost
@@ -138,7 +138,7 @@
 
 // Flush waits until everything that came is written, or the target has taken nothing
 // for long.
-func (q *Queue) Flush() {
+func (q *AsyncWriter) Flush() {
 	q.mu.Lock()
 	idle, writing := q.idle, q.writing
 	q.mu.Unlock()
--- a/modules/log/queue_test.go
+++ b/modules/log/queue_test.go
@@ -43,7 +43,7 @@
 
 func TestLinesStayWholeWhereThePipeIsFull(t *testing.T) {
 	p := &fullPipe{}
-	q := &Queue{Target: p}
+	q := &AsyncWriter{Output: p}
 	var want strings.Builder
 	for _, line := range []string{"a first line that is long\n", "a second line\n", "a third line that is long too\n"} {
 		want.WriteString(line)
@@ -57,7 +57,7 @@
 
 func TestLineThatIsCutOffIsEnded(t *testing.T) {
 	p := &fullPipe{fail: errors.New("no more")}
-	q := &Queue{Target: p}
+	q := &AsyncWriter{Output: p}
 	_, err := q.Write([]byte("a first line that is long\n"))
 	assert.NilError(t, err)
 	q.Flush()
@@ -80,7 +80,7 @@
 
 func TestTargetThatIsGoneIsTriedOncePerLine(t *testing.T) {
 	b := &broken{}
-	q := &Queue{Target: b}
+	q := &AsyncWriter{Output: b}
 	for range 3 {
 		_, err := q.Write([]byte("a line\n"))
 		assert.NilError(t, err)
--- a/modules/metrics/metrics.go
+++ b/modules/metrics/metrics.go
@@ -13,35 +13,35 @@
 type Set struct {
 	Registry gometrics.Registry
 
-	Requests gometrics.Counter // requests of callers
-	Sends    gometrics.Counter // requests sent to targets
-	Retries  gometrics.Counter // of them, sent again
-	Refused  gometrics.Counter // answered as not run
-	Unknown  gometrics.Counter // answered with an unknown outcome
-	Keyed    gometrics.Counter // requests that run at most once
-	Latency  gometrics.Timer   // from a request's arrival to its answer's end
-	PeerIn   gometrics.Counter // bytes from peers
-	PeerOut  gometrics.Counter // bytes to peers
-	LogIn    gometrics.Counter // bytes from the platform
-	LogOut   gometrics.Counter // bytes to the platform
+	Requests    gometrics.Counter // requests of callers
+	Sends       gometrics.Counter // requests sent to targets
+	Retries     gometrics.Counter // of them, sent again
+	Refused     gometrics.Counter // answered as not run
+	Unknown     gometrics.Counter // answered with an unknown outcome
+	Keyed       gometrics.Counter // requests that run at most once
+	Latency     gometrics.Timer   // from a request's arrival to its answer's end
+	PeerIn      gometrics.Counter // bytes from peers
+	PeerOut     gometrics.Counter // bytes to peers
+	PlatformIn  gometrics.Counter // bytes from the platform
+	PlatformOut gometrics.Counter // bytes to the platform
 }
 
 // New returns an empty set in a registry of its own.
 func New() *Set {
 	r := gometrics.NewRegistry()
 	return &Set{
-		Registry: r,
-		Requests: gometrics.NewRegisteredCounter("requests", r),
-		Sends:    gometrics.NewRegisteredCounter("sends", r),
-		Retries:  gometrics.NewRegisteredCounter("retries", r),
-		Refused:  gometrics.NewRegisteredCounter("refused", r),
-		Unknown:  gometrics.NewRegisteredCounter("unknown_outcomes", r),
-		Keyed:    gometrics.NewRegisteredCounter("keyed_requests", r),
-		Latency:  gometrics.NewRegisteredTimer("request_latency", r),
-		PeerIn:   gometrics.NewRegisteredCounter("peer_bytes_in", r),
-		PeerOut:  gometrics.NewRegisteredCounter("peer_bytes_out", r),
-		LogIn:    gometrics.NewRegisteredCounter("platform_bytes_in", r),
-		LogOut:   gometrics.NewRegisteredCounter("platform_bytes_out", r),
+		Registry:    r,
+		Requests:    gometrics.NewRegisteredCounter("requests", r),
+		Sends:       gometrics.NewRegisteredCounter("sends", r),
+		Retries:     gometrics.NewRegisteredCounter("retries", r),
+		Refused:     gometrics.NewRegisteredCounter("refused", r),
+		Unknown:     gometrics.NewRegisteredCounter("unknown_outcomes", r),
+		Keyed:       gometrics.NewRegisteredCounter("keyed_requests", r),
+		Latency:     gometrics.NewRegisteredTimer("request_latency", r),
+		PeerIn:      gometrics.NewRegisteredCounter("peer_bytes_in", r),
+		PeerOut:     gometrics.NewRegisteredCounter("peer_bytes_out", r),
+		PlatformIn:  gometrics.NewRegisteredCounter("platform_bytes_in", r),
+		PlatformOut: gometrics.NewRegisteredCounter("platform_bytes_out", r),
 	}
 }
 
@@ -66,7 +66,7 @@
 	if s == nil {
 		return c
 	}
-	return countedConn{c, s.LogIn, s.LogOut}
+	return countedConn{c, s.PlatformIn, s.PlatformOut}
 }
 
 // NetConn returns the connection that is counted, which a reset is for.
--- a/modules/oncekey/oncekey.go
+++ b/modules/oncekey/oncekey.go
@@ -13,8 +13,8 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// MaxLife is how far in the future a key may expire.
-const MaxLife = 24 * time.Hour
+// MaxLifetime is how far in the future a key may expire.
+const MaxLifetime = 24 * time.Hour
 
 // Format tells an operator or caller what a key looks like.
 const Format = "<unix seconds at which it expires>.<8 to 64 letters, digits, - or _>"
@@ -49,8 +49,8 @@
 	if !expiry.After(now) {
 		return errkind.New(errkind.KeyExpired, "key expired at %s", expiry.UTC().Format(time.RFC3339))
 	}
-	if expiry.After(now.Add(MaxLife)) {
-		return errkind.New(errkind.BadRequest, "key expires more than %s from now", MaxLife)
+	if expiry.After(now.Add(MaxLifetime)) {
+		return errkind.New(errkind.BadRequest, "key expires more than %s from now", MaxLifetime)
 	}
 	return nil
 }
--- a/modules/rpcconn/server.go
+++ b/modules/rpcconn/server.go
@@ -25,11 +25,11 @@
 	Wrap   func(ctx context.Context, raw net.Conn) (net.Conn, error)
 	Handle Handler
 	Logger *log.Logger
-	// Idle is for how long a connection may bring nothing until it is closed, 0 for
+	// IdleTimeout is for how long a connection may bring nothing until it is closed, 0 for
 	// idleLimit, and for wrapLimit until it is ready for use.
-	Idle time.Duration
-	// Most is how many connections may be open at once, 0 for mostOpen.
-	Most int64
+	IdleTimeout time.Duration
+	// MaxConnections is how many connections may be open at once, 0 for mostOpen.
+	MaxConnections int64
 
 	open atomic.Int64
 }
@@ -56,7 +56,7 @@
 		if err != nil {
 			return
 		}
-		if s.open.Add(1) > cmp.Or(s.Most, mostOpen) {
+		if s.open.Add(1) > cmp.Or(s.MaxConnections, mostOpen) {
 			s.open.Add(-1)
 			_ = raw.Close()
 			s.Logger.Warn().Str("event", "connection").Str("from", raw.RemoteAddr().String()).Int64("open", s.open.Load()).
@@ -81,7 +81,7 @@
 		_ = c.raw.Close()
 		return
 	}
-	conn = idleConn{conn, cmp.Or(c.s.Idle, idleLimit)}
+	conn = idleConn{conn, cmp.Or(c.s.IdleTimeout, idleLimit)}
 	stream := jsonrpc2.NewBufferedStream(conn, jsonrpc2.VarintObjectCodec{})
 	rpc := jsonrpc2.NewConn(ctx, stream, jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(c.s.handle)), jsonrpc2.SetLogger(c.s.Logger))
 	select {
@@ -93,7 +93,7 @@
 
 // wrap makes the connection ready for use, for no longer than one may bring nothing.
 func (c session) wrap(ctx context.Context) (net.Conn, error) {
-	bounded, cancel := context.WithTimeout(ctx, cmp.Or(c.s.Idle, wrapLimit))
+	bounded, cancel := context.WithTimeout(ctx, cmp.Or(c.s.IdleTimeout, wrapLimit))
 	defer cancel()
 	return c.s.Wrap(bounded, c.raw)
 }
--- a/modules/rpcconn/server_test.go
+++ b/modules/rpcconn/server_test.go
@@ -45,7 +45,7 @@
 // TestAConnectionThatBringsNothingIsClosed: one that fell silent, or was opened and
 // never used, gives its room back.
 func TestAConnectionThatBringsNothingIsClosed(t *testing.T) {
-	address := serveBounded(t, &Server{Idle: 50 * time.Millisecond})
+	address := serveBounded(t, &Server{IdleTimeout: 50 * time.Millisecond})
 	c, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	defer c.Close()
@@ -55,10 +55,10 @@
 // TestConnectionsAreBoundedInNumber: one beyond the bound is closed, and room that is
 // given back is used again.
 func TestConnectionsAreBoundedInNumber(t *testing.T) {
-	address := serveBounded(t, &Server{Most: 1})
+	address := serveBounded(t, &Server{MaxConnections: 1})
 	logger := log.Nop()
 	var dialer net.Dialer
-	table := &Table{Logger: &logger, Dial: func(ctx context.Context, address string) (net.Conn, error) {
+	table := &Client{Logger: &logger, Dial: func(ctx context.Context, address string) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	}}
 	var nothing struct{}
@@ -79,7 +79,7 @@
 // TestAConnectionThatIsNeverSecuredGivesItsRoomBack: one whose far end says nothing
 // while it is made ready for use is closed as one that brings nothing later.
 func TestAConnectionThatIsNeverSecuredGivesItsRoomBack(t *testing.T) {
-	address := serveBounded(t, &Server{Idle: 50 * time.Millisecond, Wrap: func(ctx context.Context, raw net.Conn) (net.Conn, error) {
+	address := serveBounded(t, &Server{IdleTimeout: 50 * time.Millisecond, Wrap: func(ctx context.Context, raw net.Conn) (net.Conn, error) {
 		secure := tls.Server(raw, &tls.Config{MinVersion: tls.VersionTLS13})
 		return secure, secure.HandshakeContext(ctx)
 	}})
--- a/modules/rpcconn/table.go
+++ b/modules/rpcconn/table.go
@@ -20,16 +20,16 @@
 // Dial opens a connection to an address.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// Table holds one connection to each address; its zero value with a way to open
+// Client holds one connection to each address; its zero value with a way to open
 // them works. A connection that has fallen silent is told apart from a far end that
 // is: where a call waits and the connection does not answer a question either, a fresh
 // one is asked, and takes its place.
-type Table struct {
+type Client struct {
 	Dial   Dial
 	Logger *log.Logger
-	// Found is told of each connection that was found silent, by address, and how
+	// OnUnresponsive is told of each connection that was found silent, by address, and how
 	// long a call had waited on it; nil tells nobody.
-	Found func(address string, after time.Duration)
+	OnUnresponsive func(address string, after time.Duration)
 
 	mu    sync.Mutex
 	peers map[string]*peer // by address
@@ -37,12 +37,12 @@
 
 // peer is a connection of a table.
 type peer struct {
-	table   *Table
+	table   *Client
 	address string
 	rpc     *jsonrpc2.Conn
 	conn    *silence.Conn
-	end     silence.End
-	repeats silence.Repeats
+	end     silence.Endpoint
+	repeats silence.RetryPolicy
 	asked   atomic.Bool // a fresh connection is being asked about it
 }
 
@@ -56,21 +56,21 @@
 const pingTimeout = 400 * time.Millisecond
 
 // Call makes a call to an address. Unreached says that it was not sent.
-func (t *Table) Call(ctx context.Context, address, method string, params, result any) error {
+func (t *Client) Call(ctx context.Context, address, method string, params, result any) error {
 	p, err := t.get(ctx, address)
 	if err != nil {
-		return Unreached{err}
+		return ConnectError{err}
 	}
 	began := time.Now()
-	heard := p.conn.Heard()
+	heard := p.conn.ReadCount()
 	w := p.watch(ctx, began)
 	err = p.rpc.Call(ctx, method, params, result)
 	w.end()
 	if _, answered := err.(*jsonrpc2.Error); err == nil || answered { //nolint:errorlint // the library returns it as it is
-		p.repeats.Answered(began, 0)
+		p.repeats.RecordResponse(began, 0)
 		return err
 	}
-	if stderrors.Is(err, context.Canceled) || stderrors.Is(err, context.DeadlineExceeded) && p.conn.Heard() != heard {
+	if stderrors.Is(err, context.Canceled) || stderrors.Is(err, context.DeadlineExceeded) && p.conn.ReadCount() != heard {
 		return err // the call was given up, or was late, and others go on over the connection
 	}
 	t.forget(p)
@@ -78,10 +78,10 @@
 }
 
 // Notify sends a message that has no answer.
-func (t *Table) Notify(ctx context.Context, address, method string, params any) error {
+func (t *Client) Notify(ctx context.Context, address, method string, params any) error {
 	p, err := t.get(ctx, address)
 	if err != nil {
-		return Unreached{err}
+		return ConnectError{err}
 	}
 	if err := p.rpc.Notify(ctx, method, params); err != nil {
 		t.forget(p)
@@ -90,17 +90,17 @@
 	return nil
 }
 
-// Unreached is the error of a call for which there was no connection.
-type Unreached struct{ Err error }
+// ConnectError is the error of a call for which there was no connection.
+type ConnectError struct{ Err error }
 
 // Error says why there was no connection.
-func (u Unreached) Error() string { return u.Err.Error() }
+func (u ConnectError) Error() string { return u.Err.Error() }
 
 // Unwrap returns why there was no connection.
-func (u Unreached) Unwrap() error { return u.Err }
+func (u ConnectError) Unwrap() error { return u.Err }
 
 // get returns the connection to an address, a fresh one where there is none.
-func (t *Table) get(ctx context.Context, address string) (*peer, error) {
+func (t *Client) get(ctx context.Context, address string) (*peer, error) {
 	t.mu.Lock()
 	known := t.peers[address]
 	t.mu.Unlock()
@@ -137,7 +137,7 @@
 	}
 }
 
-func (t *Table) open(ctx context.Context, address string) (*peer, error) {
+func (t *Client) open(ctx context.Context, address string) (*peer, error) {
 	raw, err := t.Dial(ctx, address)
 	if err != nil {
 		return nil, err
@@ -150,7 +150,7 @@
 }
 
 // put makes a connection the one to its address. The lock is held.
-func (t *Table) put(p *peer) {
+func (t *Client) put(p *peer) {
 	if t.peers == nil {
 		t.peers = make(map[string]*peer)
 	}
@@ -158,7 +158,7 @@
 }
 
 // forget ends a connection that failed a call, unless it ended before.
-func (t *Table) forget(p *peer) {
+func (t *Client) forget(p *peer) {
 	t.mu.Lock()
 	if t.peers[p.address] == p {
 		delete(t.peers, p.address)
@@ -169,7 +169,7 @@
 }
 
 // Close ends all connections.
-func (t *Table) Close() {
+func (t *Client) Close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.peers {
--- a/modules/rpcconn/table_test.go
+++ b/modules/rpcconn/table_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func serve(t *testing.T) (*hall, *Table) {
+func serve(t *testing.T) (*hall, *Client) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -85,7 +85,7 @@
 	}}
 	go s.Run(ctx, l)
 	var dialer net.Dialer
-	table := &Table{Logger: &logger, Dial: func(ctx context.Context, address string) (net.Conn, error) {
+	table := &Client{Logger: &logger, Dial: func(ctx context.Context, address string) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	}}
 	t.Cleanup(table.Close)
@@ -93,7 +93,7 @@
 }
 
 // limited calls a method with a limit that a silent connection would use up.
-func limited(table *Table, h *hall, method string) error {
+func limited(table *Client, h *hall, method string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	var nothing struct{}
@@ -109,7 +109,7 @@
 		t.Run(name, func(t *testing.T) {
 			h, table := serve(t)
 			var found atomic.Int64
-			table.Found = func(string, time.Duration) { found.Add(1) }
+			table.OnUnresponsive = func(string, time.Duration) { found.Add(1) }
 			assert.NilError(t, limited(table, h, "work"))
 			h.fall(w.requests, w.answers)
 			began := time.Now()
--- a/modules/rpcconn/watch.go
+++ b/modules/rpcconn/watch.go
@@ -28,11 +28,11 @@
 // watch begins to look after a call, and returns nil for one whose limit leaves no
 // time to find out that its connection is silent: it ends the connection by itself.
 func (p *peer) watch(ctx context.Context, began time.Time) *watch {
-	patience := p.repeats.Patience()
+	patience := p.repeats.RetryDelay()
 	if limit, has := ctx.Deadline(); has && limit.Sub(began) < patience+pingGrace {
 		return nil
 	}
-	w := &watch{peer: p, ctx: ctx, heard: p.conn.Heard(), wait: patience, began: began}
+	w := &watch{peer: p, ctx: ctx, heard: p.conn.ReadCount(), wait: patience, began: began}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.timer = time.AfterFunc(w.wait, w.look)
@@ -53,7 +53,7 @@
 // look asks a fresh connection where nothing has come, and looks again later, each
 // time after twice as long: a far end that is slow is not asked over and over.
 func (w *watch) look() {
-	if heard := w.peer.conn.Heard(); heard != w.heard {
+	if heard := w.peer.conn.ReadCount(); heard != w.heard {
 		w.heard = heard
 	} else if w.peer.asked.CompareAndSwap(false, true) {
 		if !w.alive() {
@@ -76,7 +76,7 @@
 // alive asks on the connection itself: a call may take long on one that works.
 func (w *watch) alive() bool {
 	err := w.peer.ping(w.ctx, pingGrace)
-	return err == nil || w.peer.conn.Heard() != w.heard
+	return err == nil || w.peer.conn.ReadCount() != w.heard
 }
 
 // ping asks whether the far end is there. The library does not look at the context
@@ -117,7 +117,7 @@
 	if err != nil {
 		return // the far end itself can't be reached; the call's own limit tells
 	}
-	if err := fresh.ping(ctx, pingTimeout); err != nil || p.conn.Heard() != w.heard {
+	if err := fresh.ping(ctx, pingTimeout); err != nil || p.conn.ReadCount() != w.heard {
 		_ = fresh.rpc.Close() // the same, or the older connection works
 		return
 	}
@@ -131,8 +131,8 @@
 	// It is told before the calls that wait end, so that who has got such an end finds it told.
 	t.Logger.Warn().Str("event", "silent").Str("to", "process").Str("address", p.address).Dur("after", time.Since(w.began)).
 		Msg("a connection had fallen silent and was replaced by a fresh one, which works")
-	if t.Found != nil {
-		t.Found(p.address, time.Since(w.began))
+	if t.OnUnresponsive != nil {
+		t.OnUnresponsive(p.address, time.Since(w.began))
 	}
 	p.conn.Reset()
 	_ = p.rpc.Close() // calls that wait on it end
--- a/modules/setting/check.go
+++ b/modules/setting/check.go
@@ -45,7 +45,7 @@
 	})
 }
 
-func (c *checker) check(s Setting) {
+func (c *checker) check(s Settings) {
 	c.name("entry", "name", s.Entry.Name)
 	c.name("entry", "hall", s.Entry.Hall)
 	c.checkListen(s.Listen)
@@ -119,7 +119,7 @@
 }
 
 // checkAdvertised refuses an address that leads other entries nowhere.
-func (c *checker) checkAdvertised(s Setting) {
+func (c *checker) checkAdvertised(s Settings) {
 	if s.Peers.Advertise != "" {
 		c.address("peers", "advertise", s.Peers.Advertise)
 		return
@@ -132,13 +132,13 @@
 func (c *checker) checkLimits(l Limits) {
 	c.between("body_bytes", l.BodyBytes, 1, maxBodyBytes)
 	c.between("header_bytes", int64(l.HeaderBytes), 1<<10, maxHeaderBytes)
-	c.between("connections", int64(l.Connections), 1, maxConnections)
+	c.between("connections", int64(l.MaxConnections), 1, maxConnections)
 	c.between("target_slots", int64(l.TargetSlots), 1, maxConnections)
-	c.between("target_connections", int64(l.TargetConnections), int64(l.TargetSlots), maxConnections)
-	c.between("entries", int64(l.Entries), 1, maxEntries)
+	c.between("target_connections", int64(l.MaxTargetConnections), int64(l.TargetSlots), maxConnections)
+	c.between("entries", int64(l.MaxEntries), 1, maxEntries)
 	c.atLeast("limits", "read_timeout", l.ReadTimeout, 100*time.Millisecond)
-	c.atLeast("limits", "withdraw", l.Withdraw, 0)
-	c.atLeast("limits", "stale", l.Stale, time.Second)
+	c.atLeast("limits", "withdraw", l.ShutdownDelay, 0)
+	c.atLeast("limits", "stale", l.StaleAfter, time.Second)
 }
 
 func (c *checker) between(key string, value, low, high int64) {
--- a/modules/setting/node.go
+++ b/modules/setting/node.go
@@ -14,15 +14,15 @@
 
 // Node is what a node process on the users' platform is told about itself.
 type Node struct {
-	Node     NodePlace    `toml:"node"`
+	Node     NodeInfo     `toml:"node"`
 	Listen   NodeListen   `toml:"listen"`
 	Platform NodePlatform `toml:"platform"`
 	Bounds   NodeBounds   `toml:"bounds"`
 	Log      Log          `toml:"log"`
 }
 
-// NodePlace names the process and its place.
-type NodePlace struct {
+// NodeInfo names the process and its place.
+type NodeInfo struct {
 	Name       string  `toml:"name"`
 	DataCenter string  `toml:"data_center"`
 	Address    string  `toml:"address"` // IP at which other nodes reach it
@@ -33,10 +33,10 @@
 
 // NodeListen holds the IP and port of each surface.
 type NodeListen struct {
-	Callers  string `toml:"callers"`
-	Ready    string `toml:"ready"`
-	NodePort int    `toml:"node_port"`    // for other nodes
-	Metrics  int    `toml:"metrics_port"` // 0 for none
+	Callers     string `toml:"callers"`
+	Ready       string `toml:"ready"`
+	NodePort    int    `toml:"node_port"`    // for other nodes
+	MetricsPort int    `toml:"metrics_port"` // 0 for none
 }
 
 // NodePlatform says where the platform is and what its store is like.
@@ -50,17 +50,17 @@
 // NodeBounds are the promises that the platform and the operators hold a node
 // to.
 type NodeBounds struct {
-	LeaseMost   tomlfile.Duration `toml:"lease_most"`   // longest lease of what runs on a worker
-	StopTime    tomlfile.Duration `toml:"stop_time"`    // the most that a stop of a run takes
-	Grace       tomlfile.Duration `toml:"grace"`        // from a request to stop until the process is killed
-	StatusKept  tomlfile.Duration `toml:"status_kept"`  // how long the state of an ended job is told
-	FarTimes    float64           `toml:"far_times"`    // how much longer a task takes away from its data
-	MoveTime    tomlfile.Duration `toml:"move_time"`    // of an instance to another pool
-	RepairTime  tomlfile.Duration `toml:"repair_time"`  // of an instance's maintenance
-	NoticeTime  tomlfile.Duration `toml:"notice_time"`  // a task that lasts counts as away for this long
-	HolderLease tomlfile.Duration `toml:"holder_lease"` // between the orders of two holders for one instance
-	HarmTime    tomlfile.Duration `toml:"harm_time"`    // the longest that filling tasks may harm a serving one
-	PaceTime    tomlfile.Duration `toml:"pace_time"`    // until a pace works
+	MaxLease            tomlfile.Duration `toml:"lease_most"`   // longest lease of what runs on a worker
+	StopTime            tomlfile.Duration `toml:"stop_time"`    // the most that a stop of a run takes
+	ShutdownGrace       tomlfile.Duration `toml:"grace"`        // from a request to stop until the process is killed
+	StatusRetention     tomlfile.Duration `toml:"status_kept"`  // how long the state of an ended job is told
+	RemoteSlowdown      float64           `toml:"far_times"`    // how much longer a task takes away from its data
+	MoveTime            tomlfile.Duration `toml:"move_time"`    // of an instance to another pool
+	MaintenanceTime     tomlfile.Duration `toml:"repair_time"`  // of an instance's maintenance
+	UnavailableAfter    tomlfile.Duration `toml:"notice_time"`  // a task that lasts counts as away for this long
+	HolderLease         tomlfile.Duration `toml:"holder_lease"` // between the orders of two holders for one instance
+	MaxInterferenceTime tomlfile.Duration `toml:"harm_time"`    // the longest that filling tasks may harm a serving one
+	CPUShareDelay       tomlfile.Duration `toml:"pace_time"`    // until a pace works
 }
 
 // ParseNode checks the settings of a node, which a file holds.
@@ -93,8 +93,8 @@
 	}
 	c.within("listen", "node_port", n.Listen.NodePort, maxPort)
 	c.within("platform", "partitions", n.Platform.Partitions, maxPartitions)
-	c.atLeast("bounds", "lease_most", n.Bounds.LeaseMost, time.Millisecond)
-	c.atLeast("bounds", "grace", n.Bounds.Grace, time.Millisecond)
+	c.atLeast("bounds", "lease_most", n.Bounds.MaxLease, time.Millisecond)
+	c.atLeast("bounds", "grace", n.Bounds.ShutdownGrace, time.Millisecond)
 	return c.problems
 }
 
@@ -109,12 +109,12 @@
 	maxPartitions = 1 << 16
 )
 
-// Peers returns the IP and port for other nodes.
-func (n *Node) Peers() string {
+// PeerAddress returns the IP and port for other nodes.
+func (n *Node) PeerAddress() string {
 	return net.JoinHostPort(n.Node.Address, strconv.Itoa(n.Listen.NodePort))
 }
 
-// Figures returns the IP and port at which the node tells its figures.
-func (n *Node) Figures() string {
-	return net.JoinHostPort(n.Node.Address, strconv.Itoa(n.Listen.Metrics))
+// MetricsAddress returns the IP and port at which the node tells its figures.
+func (n *Node) MetricsAddress() string {
+	return net.JoinHostPort(n.Node.Address, strconv.Itoa(n.Listen.MetricsPort))
 }
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -9,8 +9,8 @@
 	"github.com/yardbridge/yardbridge/modules/tomlfile"
 )
 
-// Setting is all that a process is told about itself.
-type Setting struct {
+// Settings is all that a process is told about itself.
+type Settings struct {
 	Entry    Entry    `toml:"entry"`
 	Listen   Listen   `toml:"listen"`
 	Platform Platform `toml:"platform"`
@@ -52,15 +52,15 @@
 
 // Limits bound what callers, targets and a stop may take.
 type Limits struct {
-	BodyBytes         int64             `toml:"body_bytes"`
-	HeaderBytes       int               `toml:"header_bytes"`
-	ReadTimeout       tomlfile.Duration `toml:"read_timeout"`
-	Connections       int               `toml:"connections"`        // of callers at once
-	TargetConnections int               `toml:"target_connections"` // to one target, from all entries
-	TargetSlots       int               `toml:"target_slots"`       // of one target
-	Entries           int               `toml:"entries"`            // the most there are at once
-	Withdraw          tomlfile.Duration `toml:"withdraw"`           // from not ready to the end of listening
-	Stale             tomlfile.Duration `toml:"stale"`              // without log or peer, until not ready
+	BodyBytes            int64             `toml:"body_bytes"`
+	HeaderBytes          int               `toml:"header_bytes"`
+	ReadTimeout          tomlfile.Duration `toml:"read_timeout"`
+	MaxConnections       int               `toml:"connections"`        // of callers at once
+	MaxTargetConnections int               `toml:"target_connections"` // to one target, from all entries
+	TargetSlots          int               `toml:"target_slots"`       // of one target
+	MaxEntries           int               `toml:"entries"`            // the most there are at once
+	ShutdownDelay        tomlfile.Duration `toml:"withdraw"`           // from not ready to the end of listening
+	StaleAfter           tomlfile.Duration `toml:"stale"`              // without log or peer, until not ready
 }
 
 // Log says what is logged.
@@ -88,35 +88,35 @@
 func (s Secret) MarshalText() ([]byte, error) { return []byte("***"), nil }
 
 // Default returns the settings that a file need not state.
-func Default() Setting {
-	return Setting{
+func Default() Settings {
+	return Settings{
 		Platform: Platform{Retention: tomlfile.Duration(24 * time.Hour)},
 		Limits: Limits{
-			BodyBytes:         10 << 20,
-			HeaderBytes:       32 << 10,
-			ReadTimeout:       tomlfile.Duration(10 * time.Second),
-			Connections:       4096,
-			TargetConnections: 64,
-			TargetSlots:       8,
-			Entries:           9,
-			Withdraw:          tomlfile.Duration(time.Second),
-			Stale:             tomlfile.Duration(30 * time.Second),
+			BodyBytes:            10 << 20,
+			HeaderBytes:          32 << 10,
+			ReadTimeout:          tomlfile.Duration(10 * time.Second),
+			MaxConnections:       4096,
+			MaxTargetConnections: 64,
+			TargetSlots:          8,
+			MaxEntries:           9,
+			ShutdownDelay:        tomlfile.Duration(time.Second),
+			StaleAfter:           tomlfile.Duration(30 * time.Second),
 		},
 		Log: Log{Level: "info"},
 	}
 }
 
-// IdleConns returns how many idle connections one entry may keep to a target:
+// MaxIdleConns returns how many idle connections one entry may keep to a target:
 // its share of what the target's slots leave.
-func (l Limits) IdleConns() int {
-	if l.Entries == 0 {
+func (l Limits) MaxIdleConns() int {
+	if l.MaxEntries == 0 {
 		return 0
 	}
-	return max((l.TargetConnections-l.TargetSlots)/l.Entries, 0)
+	return max((l.MaxTargetConnections-l.TargetSlots)/l.MaxEntries, 0)
 }
 
 // Parse reads and checks settings and returns all that is wrong with them.
-func Parse(name, data string) (Setting, tomlfile.Problems) {
+func Parse(name, data string) (Settings, tomlfile.Problems) {
 	s := Default()
 	problems, isTOML := tomlfile.Decode(name, data, &s)
 	if !isTOML {
--- a/modules/setting/setting_test.go
+++ b/modules/setting/setting_test.go
@@ -15,7 +15,7 @@
 const exampleFile = "../../custom/settings.example.toml"
 
 // load returns the settings of a file, which must be in order.
-func load(t *testing.T, path string) Setting {
+func load(t *testing.T, path string) Settings {
 	t.Helper()
 	data, err := os.ReadFile(path)
 	assert.NilError(t, err)
@@ -51,7 +51,7 @@
 
 func TestChangedNamesTheKeys(t *testing.T) {
 	a, b := Default(), Default()
-	b.Limits.Stale++
+	b.Limits.StaleAfter++
 	b.Peers.Seeds = []string{"127.0.0.1:1"}
 	b.Tokens = []Token{{Name: "x"}}
 	assert.DeepEqual(t, Changed(a, b), []string{"peers.seeds", "limits.stale", "token"})
--- a/modules/signals/signals.go
+++ b/modules/signals/signals.go
@@ -33,6 +33,6 @@
 	return c
 }
 
-// KeepOutput has a write to an output whose reader has gone fail, and not end the
+// IgnoreSIGPIPE has a write to an output whose reader has gone fail, and not end the
 // process.
-func KeepOutput() { signal.Ignore(syscall.SIGPIPE) }
+func IgnoreSIGPIPE() { signal.Ignore(syscall.SIGPIPE) }
--- a/modules/silence/repeat.go
+++ b/modules/silence/repeat.go
@@ -31,26 +31,26 @@
 	budgetMost = 12
 )
 
-// Repeats decides when calls to one end are made again over a fresh connection; its
+// RetryPolicy decides when calls to one end are made again over a fresh connection; its
 // zero value works.
-type Repeats struct {
+type RetryPolicy struct {
 	mu       sync.Mutex
 	usual    time.Duration // that an answer takes
 	spent    float64       // repeats that were not earned back yet
 	answered uint64
 }
 
-// Patience returns how long to wait for an answer on an older connection.
-func (r *Repeats) Patience() time.Duration {
+// RetryDelay returns how long to wait for an answer on an older connection.
+func (r *RetryPolicy) RetryDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return max(leastPatience, patienceTimes*r.usual)
 }
 
-// Answered notes that a call was answered which began at a time; held is for how long
+// RecordResponse notes that a call was answered which began at a time; held is for how long
 // the far end was asked to hold the answer back. Only some calls are timed, since
 // reading the clock costs.
-func (r *Repeats) Answered(began time.Time, held time.Duration) {
+func (r *RetryPolicy) RecordResponse(began time.Time, held time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.spent = max(r.spent-budgetShare, 0)
@@ -60,9 +60,9 @@
 	}
 }
 
-// Again notes that a call was answered which had got no answer before: where it took as
+// RecordRetryResponse notes that a call was answered which had got no answer before: where it took as
 // long again, the far end is slow, and the next calls wait for it.
-func (r *Repeats) Again(began time.Time, held time.Duration) {
+func (r *RetryPolicy) RecordRetryResponse(began time.Time, held time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	took := max(time.Since(began)-held, 0)
@@ -74,7 +74,7 @@
 }
 
 // took takes the time of an answer into the usual one. The lock is held.
-func (r *Repeats) took(took time.Duration) {
+func (r *RetryPolicy) took(took time.Duration) {
 	if r.usual == 0 {
 		r.usual = took
 	}
@@ -82,7 +82,7 @@
 }
 
 // Spend takes one repeat off the budget, and reports whether there was one.
-func (r *Repeats) Spend() bool {
+func (r *RetryPolicy) Spend() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.spent+1 > budgetMost {
--- a/modules/silence/silence.go
+++ b/modules/silence/silence.go
@@ -16,7 +16,7 @@
 // the clock at each read would cost more than all the rest.
 type Conn struct {
 	net.Conn
-	end    *End
+	end    *Endpoint
 	opened time.Time
 	heard  atomic.Uint64 // how often something has come
 	silent atomic.Bool
@@ -39,28 +39,28 @@
 	return n, err
 }
 
-// Heard returns how often something has come on the connection.
-func (c *Conn) Heard() uint64 { return c.heard.Load() }
+// ReadCount returns how often something has come on the connection.
+func (c *Conn) ReadCount() uint64 { return c.heard.Load() }
 
-// Await notes that an answer is waited for that is due at a time.
-func (c *Conn) Await(due time.Time) { c.waiting.Store(&wait{due, c.Heard()}) }
+// ExpectResponse notes that an answer is waited for that is due at a time.
+func (c *Conn) ExpectResponse(due time.Time) { c.waiting.Store(&wait{due, c.ReadCount()}) }
 
-// Rest notes that no answer is waited for.
-func (c *Conn) Rest() { c.waiting.Store(nil) }
+// ClearExpected notes that no answer is waited for.
+func (c *Conn) ClearExpected() { c.waiting.Store(nil) }
 
 // quiet reports whether the connection has nothing to show for itself: no answer is
 // waited for, or one is overdue and nothing of it has come.
 func (c *Conn) quiet(now time.Time) bool {
 	w := c.waiting.Load()
-	return w == nil || !now.Before(w.due) && c.Heard() == w.heard
+	return w == nil || !now.Before(w.due) && c.ReadCount() == w.heard
 }
 
-// Silent reports whether the connection was found silent, and ended for that.
-func (c *Conn) Silent() bool { return c.silent.Load() }
+// Unresponsive reports whether the connection was found silent, and ended for that.
+func (c *Conn) Unresponsive() bool { return c.silent.Load() }
 
-// Ended reports whether the far end has ended a connection on which nothing is waited for, or
+// RemoteClosed reports whether the far end has ended a connection on which nothing is waited for, or
 // has sent what nobody has asked for. It costs a call of the kernel, and does not wait.
-func (c *Conn) Ended() bool {
+func (c *Conn) RemoteClosed() bool {
 	raw, has := innermost(c.Conn).(syscall.Conn)
 	if !has {
 		return false
@@ -109,15 +109,15 @@
 	}
 }
 
-// End is a far end and the connections that are open to it; its zero value has
+// Endpoint is a far end and the connections that are open to it; its zero value has
 // none.
-type End struct {
+type Endpoint struct {
 	mu    sync.Mutex
 	conns map[*Conn]bool
 }
 
 // Track counts a fresh connection among those to the end.
-func (e *End) Track(raw net.Conn) *Conn {
+func (e *Endpoint) Track(raw net.Conn) *Conn {
 	c := &Conn{Conn: raw, end: e, opened: time.Now()}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -128,18 +128,18 @@
 	return c
 }
 
-func (e *End) forget(c *Conn) {
+func (e *Endpoint) forget(c *Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.conns, c)
 }
 
-// Answered takes the news that the end has answered on a fresh connection what got no
+// ResetOlder takes the news that the end has answered on a fresh connection what got no
 // answer on an older one: all that were opened before it have fallen silent, unless they
 // show that they have not, and are ended: those on which nothing is waited for, and those
 // whose answer is overdue; calls that wait there fail at once. It returns how many there
 // were.
-func (e *End) Answered(fresh *Conn) int {
+func (e *Endpoint) ResetOlder(fresh *Conn) int {
 	silent := e.older(fresh)
 	for _, c := range silent {
 		c.silent.Store(true)
@@ -148,7 +148,7 @@
 	return len(silent)
 }
 
-func (e *End) older(fresh *Conn) []*Conn {
+func (e *Endpoint) older(fresh *Conn) []*Conn {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/modules/silence/silence_test.go
+++ b/modules/silence/silence_test.go
@@ -14,7 +14,7 @@
 )
 
 // pipe returns a tracked connection and its far end.
-func pipe(e *End) (*Conn, net.Conn) {
+func pipe(e *Endpoint) (*Conn, net.Conn) {
 	near, far := net.Pipe()
 	return e.Track(near), far
 }
@@ -23,7 +23,7 @@
 // waiting and finding.
 func TestOnlyWhatIsOlderQuietAndOverdueIsEnded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var e End
+		var e Endpoint
 		type known struct {
 			c       *Conn
 			far     net.Conn
@@ -39,7 +39,7 @@
 				conns = append(conns, &known{c: c, far: far})
 			case s == 1:
 				k := conns[rapid.IntRange(0, len(conns)-1).Draw(t, "which")]
-				if k.c.Silent() {
+				if k.c.Unresponsive() {
 					continue
 				}
 				go func() { _, _ = k.far.Write([]byte{1}) }()
@@ -48,21 +48,21 @@
 			case s == 2:
 				k := conns[rapid.IntRange(0, len(conns)-1).Draw(t, "which")]
 				k.waiting = !k.waiting
-				k.c.Rest()
+				k.c.ClearExpected()
 				if k.waiting {
-					k.c.Await(time.Now().Add(time.Hour))
+					k.c.ExpectResponse(time.Now().Add(time.Hour))
 				}
 			default:
 				fresh, far := pipe(&e)
 				ended := 0
 				for _, k := range conns {
-					if !k.c.Silent() && !k.waiting {
+					if !k.c.Unresponsive() && !k.waiting {
 						ended++
 					}
 				}
-				assert.Equal(t, e.Answered(fresh), ended)
+				assert.Equal(t, e.ResetOlder(fresh), ended)
 				for _, k := range conns {
-					assert.Assert(t, k.c.Silent() || k.waiting)
+					assert.Assert(t, k.c.Unresponsive() || k.waiting)
 				}
 				conns = append(conns, &known{c: fresh, far: far})
 			}
@@ -77,29 +77,29 @@
 // TestWhatWasHeardSinceIsNotEnded: a connection on which a part of the answer has come
 // is not silent, however long the rest takes.
 func TestWhatWasHeardSinceIsNotEnded(t *testing.T) {
-	var e End
+	var e Endpoint
 	c, far := pipe(&e)
-	c.Await(time.Now())
+	c.ExpectResponse(time.Now())
 	go func() { _, _ = far.Write([]byte{1}) }()
 	_, err := c.Read(make([]byte, 1))
 	assert.NilError(t, err)
 	time.Sleep(time.Millisecond) // so that the fresh one is younger
 	fresh, _ := pipe(&e)
-	assert.Equal(t, e.Answered(fresh), 0)
-	assert.Assert(t, !c.Silent())
-	c.Rest()
-	assert.Equal(t, e.Answered(fresh), 1)
+	assert.Equal(t, e.ResetOlder(fresh), 0)
+	assert.Assert(t, !c.Unresponsive())
+	c.ClearExpected()
+	assert.Equal(t, e.ResetOlder(fresh), 1)
 }
 
 // TestRepeatsAreATenthOfCallsInTheLongRun: whatever is answered and asked for in any
 // order, repeats stay within the budget.
 func TestRepeatsAreATenthOfCallsInTheLongRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var r Repeats
+		var r RetryPolicy
 		answered, allowed := 0, 0
 		for _, isAnswer := range rapid.SliceOf(rapid.Bool()).Draw(t, "calls") {
 			if isAnswer {
-				r.Answered(time.Now(), 0)
+				r.RecordResponse(time.Now(), 0)
 				answered++
 				continue
 			}
@@ -113,32 +113,32 @@
 
 // TestPatienceFollowsAnEndThatBecomesSlow: a slow end is waited for.
 func TestPatienceFollowsAnEndThatBecomesSlow(t *testing.T) {
-	var r Repeats
-	r.Answered(time.Now().Add(-2*time.Millisecond), 0)
-	assert.Equal(t, r.Patience(), leastPatience)
+	var r RetryPolicy
+	r.RecordResponse(time.Now().Add(-2*time.Millisecond), 0)
+	assert.Equal(t, r.RetryDelay(), leastPatience)
 	for range 80 {
-		r.Answered(time.Now().Add(-300*time.Millisecond), 0)
+		r.RecordResponse(time.Now().Add(-300*time.Millisecond), 0)
 	}
-	assert.Assert(t, r.Patience() > time.Second, "%s", r.Patience())
+	assert.Assert(t, r.RetryDelay() > time.Second, "%s", r.RetryDelay())
 }
 
 // TestSlowEndIsLearnedAtOnce: an end that has become slow is asked twice by one call,
 // not by all of the next twenty; it is waited for no longer once it is quick again.
 func TestSlowEndIsLearnedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var r Repeats
+		var r RetryPolicy
 		answer := func(takes time.Duration) (repeated bool) {
 			began := time.Now()
-			if takes <= r.Patience() {
+			if takes <= r.RetryDelay() {
 				time.Sleep(takes)
-				r.Answered(began, 0)
+				r.RecordResponse(began, 0)
 				return false
 			}
-			time.Sleep(r.Patience())
+			time.Sleep(r.RetryDelay())
 			again := time.Now()
 			time.Sleep(takes)
-			r.Again(again, 0)
-			r.Answered(again, 0)
+			r.RecordRetryResponse(again, 0)
+			r.RecordResponse(again, 0)
 			return true
 		}
 		repeated := 0
@@ -149,6 +149,6 @@
 		for range 100 {
 			answer(4 * time.Millisecond)
 		}
-		assert.Equal(t, r.Patience(), leastPatience)
+		assert.Equal(t, r.RetryDelay(), leastPatience)
 	})
 }
--- a/node/node.go
+++ b/node/node.go
@@ -86,13 +86,13 @@
 	n.client = &noderpc.Client{Logger: logger, Dial: ports.Dial, Found: ports.OnUnresponsive}
 	n.probes = &noderpc.Client{Logger: logger, Dial: ports.Dial, Found: ports.OnUnresponsive}
 	n.server = &noderpc.Server{Logger: logger, Methods: n.methods(), Open: ports.Listen}
-	if _, err := n.server.Listen(s.Peers()); err != nil {
+	if _, err := n.server.Listen(s.PeerAddress()); err != nil {
 		return nil, err
 	}
 	n.Directory = &directory.Directory{
 		Store: ports.Store, Clock: c, Logger: logger,
 		Self: directory.Node{
-			Name: s.Node.Name, Address: s.Peers(), Incarnation: uint64(c.Now().UnixNano()),
+			Name: s.Node.Name, Address: s.PeerAddress(), Incarnation: uint64(c.Now().UnixNano()),
 			Cores: s.Node.Cores, DataCenter: s.Node.DataCenter, LinkMbps: s.Node.LinkMbps,
 		},
 	}
@@ -204,7 +204,7 @@
 	o := &owner.Owner{
 		Pool: pool, Journal: j, Workers: n.Ports.Workers, Advisor: n.Ports.Advisor,
 		Limits: scheduler.Limits{
-			Lease: min(lease, b.LeaseMost.Std()), MaxLease: b.LeaseMost.Std(), StopTime: b.StopTime.Std(), Retention: b.StatusKept.Std(), RemoteFactor: b.FarTimes,
+			Lease: min(lease, b.MaxLease.Std()), MaxLease: b.MaxLease.Std(), StopTime: b.StopTime.Std(), Retention: b.StatusRetention.Std(), RemoteFactor: b.RemoteSlowdown,
 		},
 		Clock: n.Clock, Logger: logger, NoPeers: n.alone, Count: n.Ports.Count,
 	}
@@ -222,7 +222,7 @@
 	b := n.bounds()
 	m := &fleet.Manager{
 		Journal: j, Instances: n.Ports.Instances, Clock: n.Clock, Logger: logger,
-		Limits: fleet.Limits{MaintenanceTime: b.RepairTime.Std(), HolderLease: b.HolderLease.Std()},
+		Limits: fleet.Limits{MaintenanceTime: b.MaintenanceTime.Std(), HolderLease: b.HolderLease.Std()},
 		Config: n.Gateway.Config, Waves: n.waveList, RequestReport: n.report, UpdateAllowances: n.allow,
 		ReportWave: func(ctx context.Context, wave int, done bool) error {
 			return n.Ports.Feeds.ReportWave(ctx, n.Ports.Store, wave, done)
--- a/node/script_event_test.go
+++ b/node/script_event_test.go
@@ -62,8 +62,8 @@
 	case "cut", "store-silent", "store-refuses", "store-lost", "workers-cut":
 		for i, n := range st.nodes {
 			if e.Node == 0 || e.Node == i+1 {
-				st.world.Set(n.name, func(f *world.Faults) { fault(f, e, true) })
-				time.AfterFunc(e.For.Std(), func() { st.world.Set(n.name, func(f *world.Faults) { fault(f, e, false) }) })
+				st.world.SetFaults(n.name, func(f *world.Faults) { fault(f, e, true) })
+				time.AfterFunc(e.For.Std(), func() { st.world.SetFaults(n.name, func(f *world.Faults) { fault(f, e, false) }) })
 			}
 		}
 	case "suspend":
@@ -73,22 +73,22 @@
 			}
 		}
 	case "parts-refuse":
-		st.partsAway(e, world.Refuses)
+		st.partsAway(e, world.Refusing)
 	case "parts-silent":
-		st.partsAway(e, world.Silent)
+		st.partsAway(e, world.Unresponsive)
 	case "orders-lost":
-		st.world.LoseOrders(e.Share)
-		time.AfterFunc(e.For.Std(), func() { st.world.LoseOrders(0) })
+		st.world.LoseOrderResponses(e.Share)
+		time.AfterFunc(e.For.Std(), func() { st.world.LoseOrderResponses(0) })
 	case "relist":
-		st.world.Relist()
+		st.world.RelistEnded()
 	case "wave":
 		st.wave(e)
 	case "limits":
 		st.configure(e.Share)
 	case "history":
-		st.world.DropHistory()
+		st.world.CompactLog()
 	case "silence":
-		st.world.Silence()
+		st.world.BlackholeConnections()
 	case "cancel":
 		st.mu.Lock()
 		ids := maps.Clone(st.open[e.Pool])
@@ -102,7 +102,7 @@
 }
 
 // partsAway has partitions be away for a while.
-func (st *stage) partsAway(e scriptEvent, a world.Absence) {
+func (st *stage) partsAway(e scriptEvent, a world.Outage) {
 	var at Node
 	at.Setting.Platform.Partitions = storeParts
 	var parts []port.Partition
@@ -121,8 +121,8 @@
 		st.mu.Unlock()
 	}
 	for _, p := range parts {
-		st.world.SetAbsent(p, a)
-		time.AfterFunc(e.For.Std(), func() { st.world.SetAbsent(p, world.Present) })
+		st.world.SetOutage(p, a)
+		time.AfterFunc(e.For.Std(), func() { st.world.SetOutage(p, world.Available) })
 	}
 }
 
@@ -132,7 +132,7 @@
 // runs back.
 func (st *stage) suspend(n *stagedNode, e scriptEvent) {
 	set := func(on bool) {
-		st.world.Set(n.name, func(f *world.Faults) { f.Cut, f.StoreSilent, f.WorkersCut = on, on, on })
+		st.world.SetFaults(n.name, func(f *world.Faults) { f.PeersCut, f.StoreUnresponsive, f.WorkersCut = on, on, on })
 	}
 	set(true)
 	if n.suspensions.Add(1) == 1 {
@@ -173,17 +173,17 @@
 func fault(f *world.Faults, e scriptEvent, on bool) {
 	switch e.Kind {
 	case "cut":
-		f.Cut = on
+		f.PeersCut = on
 	case "store-silent":
-		f.StoreSilent = on
+		f.StoreUnresponsive = on
 	case "store-refuses":
-		f.StoreRefuses = on
+		f.StoreUnavailable = on
 	case "workers-cut":
 		f.WorkersCut = on
 	case "store-lost":
-		f.StoreLost = 0
+		f.StoreLostResponses = 0
 		if on {
-			f.StoreLost = e.Share
+			f.StoreLostResponses = e.Share
 		}
 	}
 }
@@ -221,7 +221,7 @@
 			v.Instances = append(v.Instances, o.Name)
 		}
 	}
-	st.world.AskWave(v)
+	st.world.RequestWave(v)
 }
 
 func (st *stage) cancelJob(pool string, id job.ID, by string) {
@@ -230,7 +230,7 @@
 	if st.until(ctx, func(ctx context.Context, n *Node) bool {
 		return n.Gateway.Cancel(ctx, n.Gateway.Config().Queue("h/"+pool+"/"), id, by) == nil
 	}) {
-		st.world.Cancelled(id)
+		st.world.RecordCancel(id)
 	}
 }
 
@@ -260,15 +260,15 @@
 		return func(o *world.Worker) {
 			switch e.Kind {
 			case "silent":
-				o.Silent = on
+				o.Unresponsive = on
 			case "hangs":
-				o.Hangs = on
+				o.Stalled = on
 			case "fails":
-				o.Fails = on
+				o.FailsRuns = on
 			case "late":
-				o.Late = 0
+				o.OrderDelay = 0
 				if on {
-					o.Late = 2 * time.Second
+					o.OrderDelay = 2 * time.Second
 				}
 			}
 		}
@@ -282,7 +282,7 @@
 		st.world.Resize(id, e.Share)
 		time.AfterFunc(e.For.Std(), func() { st.world.Resize(id, 1) })
 	default:
-		st.world.Touch(id, set(true))
-		time.AfterFunc(e.For.Std(), func() { st.world.Touch(id, set(false)) })
+		st.world.ChangeWorker(id, set(true))
+		time.AfterFunc(e.For.Std(), func() { st.world.ChangeWorker(id, set(false)) })
 	}
 }
--- a/node/script_test.go
+++ b/node/script_test.go
@@ -145,9 +145,9 @@
 		}
 		return time.Now().Add(-lost)
 	}
-	s, err := clock.NewSuspendable(func() (time.Duration, error) { return time.Since(began), nil }, steady, func(time.Duration, error) {})
+	s, err := clock.NewSuspendAware(func() (time.Duration, error) { return time.Since(began), nil }, steady, func(time.Duration, error) {})
 	assert.NilError(t, err)
-	s.Period = time.Nanosecond
+	s.CheckInterval = time.Nanosecond
 	return clock.Clock{NowFunc: s.Now} // the model's time of day stands still with the steady clock, so that of Now is right
 }
 
@@ -204,11 +204,11 @@
 	for _, p := range st.script.Pools {
 		st.pools = append(st.pools, config.Pool{Name: p.Name})
 		q := config.Queue{
-			Name: p.Name, Host: "h", PathPrefix: "/" + p.Name + "/", Pool: p.Name, MaxAttempts: world.Attempts, Stretch: 1.6, BaseObjective: 600 * time.Millisecond,
+			Name: p.Name, Host: "h", PathPrefix: "/" + p.Name + "/", Pool: p.Name, MaxAttempts: world.MaxAttempts, Stretch: 1.6, BaseObjective: 600 * time.Millisecond,
 		}
 		if p.Policy {
 			q.Advice = &config.Advice{CallTime: 20 * time.Millisecond, TimePerWorker: time.Millisecond, TicketValidity: ticketTime}
-			st.world.Policy(p.Name, ticketTime)
+			st.world.RequireTickets(p.Name, ticketTime)
 		}
 		st.queues = append(st.queues, q)
 		for i := range p.Workers {
@@ -220,7 +220,7 @@
 		st.world.AddInstance(fmt.Sprintf("m-off-%d", i), world.Headroom, fmt.Sprintf("r-%d", i%2), testCapacity)
 	}
 	if st.script.Restarts {
-		st.world.RestartUnderID()
+		st.world.RestartWithSameID()
 	}
 	st.configure(1)
 	for i := range st.script.Nodes {
@@ -257,10 +257,10 @@
 		s.Node.Cores = cores[n.number-1]
 	}
 	s.Listen.NodePort, s.Platform.Partitions = 1, storeParts
-	s.Bounds.LeaseMost = tomlfile.Duration(10 * time.Second)
+	s.Bounds.MaxLease = tomlfile.Duration(10 * time.Second)
 	s.Bounds.StopTime = tomlfile.Duration(400 * time.Millisecond)
-	s.Bounds.StatusKept = tomlfile.Duration(120 * time.Second)
-	s.Bounds.RepairTime = tomlfile.Duration(2 * time.Second)
+	s.Bounds.StatusRetention = tomlfile.Duration(120 * time.Second)
+	s.Bounds.MaintenanceTime = tomlfile.Duration(2 * time.Second)
 	s.Bounds.HolderLease = tomlfile.Duration(3 * time.Second)
 	w := st.world
 	ports := Ports{
@@ -327,7 +327,7 @@
 
 func (st *stage) one(ctx context.Context, j scriptJob) {
 	s := st.submission(j)
-	st.world.Submitted(s)
+	st.world.RecordSubmission(s)
 	st.mu.Lock()
 	if st.open[j.Pool] == nil {
 		st.open[j.Pool] = make(map[job.ID]string)
@@ -363,7 +363,7 @@
 		return err == nil && (state.Final() || state == want)
 	}) || last != want {
 		if last != job.Cancelled && (last.Final() || !st.hasPolicy(j.Pool)) && !st.mayGiveUp(s.ID, last) {
-			st.fail("job %s of %s is %q, not %q; its tasks have failed: %v", s.ID, j.Pool, last, want, st.world.Fails(s.ID))
+			st.fail("job %s of %s is %q, not %q; its tasks have failed: %v", s.ID, j.Pool, last, want, st.world.FailedOn(s.ID))
 		}
 	}
 }
@@ -493,7 +493,7 @@
 	for _, v := range st.world.Violations() {
 		st.t.Error(v)
 	}
-	if n := st.world.Alone(); st.script.Gangs && n > 0 {
+	if n := st.world.GangTimeouts(); st.script.Gangs && n > 0 {
 		st.t.Errorf("GANG: %d runs have waited for the others of their gang in vain", n)
 	}
 	owners, gaveUp := st.owners(), st.gaveUpLasting()
@@ -505,14 +505,14 @@
 	}
 	if st.script.AtWork {
 		for _, ref := range st.lasting {
-			if n := st.world.AtWork(ref); n < st.want(ref) && !st.mayHaveGivenUp(ref) {
+			if n := st.world.WorkingTasks(ref); n < st.want(ref) && !st.mayHaveGivenUp(ref) {
 				st.t.Errorf("of step %s %d tasks are at work, not %d", ref, n, st.want(ref))
 			}
 		}
 	}
 	for _, number := range st.script.Complete {
-		if !st.world.Told(number) && !gaveUp {
-			st.t.Errorf("wave %d is not told as completed; begun: %v", number, st.world.Begun(number))
+		if !st.world.WaveReported(number) && !gaveUp {
+			st.t.Errorf("wave %d is not told as completed; begun: %v", number, st.world.MaintenanceStarted(number))
 		}
 	}
 }
@@ -583,4 +583,4 @@
 }
 
 // want returns how many tasks of a step there are.
-func (st *stage) want(ref job.StepRef) int { return st.world.Count(ref) }
+func (st *stage) want(ref job.StepRef) int { return st.world.TaskCount(ref) }
--- a/routers/daemon/daemon.go
+++ b/routers/daemon/daemon.go
@@ -30,15 +30,15 @@
 	Callers string // address for callers, once started
 	Admin   string // address for administration, once started
 
-	setting setting.Setting
-	callers *httpserve.Surface
-	admin   *httpserve.Surface
+	setting setting.Settings
+	callers *httpserve.Server
+	admin   *httpserve.Server
 	cancel  context.CancelFunc
 }
 
 // Start opens the surfaces of an entry and brings it to life; it returns once
 // the entry is ready.
-func Start(ctx context.Context, s setting.Setting, logger log.Logger) (*Daemon, error) {
+func Start(ctx context.Context, s setting.Settings, logger log.Logger) (*Daemon, error) {
 	counts := metrics.New()
 	client := platformhttp.New(s.Platform.URL, s.Entry.Name, counts)
 	ports := entry.Ports{Log: client.Log(), Fleet: client.Fleet(), Tasks: client.Tasks()}
@@ -74,22 +74,22 @@
 
 func (d *Daemon) open() error {
 	l := d.setting.Limits
-	d.callers = &httpserve.Surface{
-		Handler:     &caller.Router{Dispatch: d.Entry.Dispatch, Ready: d.Entry.Ready},
-		HeaderBytes: l.HeaderBytes,
-		ReadTimeout: l.ReadTimeout.Std(),
-		Connections: l.Connections,
+	d.callers = &httpserve.Server{
+		Handler:        &caller.Router{Dispatch: d.Entry.Dispatch, Ready: d.Entry.Ready},
+		MaxHeaderBytes: l.HeaderBytes,
+		ReadTimeout:    l.ReadTimeout.Std(),
+		MaxConnections: l.MaxConnections,
 	}
 	desk := &jobs.Desk{
 		Clock: d.Entry.Clock, State: d.Entry.Ledger.State, Waiting: d.Entry.Jobs.Waiting,
 		Propose: d.Entry.Propose,
 	}
 	router := &apiv1.Router{Entry: d.Entry, Desk: desk}
-	d.admin = &httpserve.Surface{
-		Handler:     router.Handler(),
-		HeaderBytes: l.HeaderBytes,
-		ReadTimeout: l.ReadTimeout.Std(),
-		Connections: l.Connections,
+	d.admin = &httpserve.Server{
+		Handler:        router.Handler(),
+		MaxHeaderBytes: l.HeaderBytes,
+		ReadTimeout:    l.ReadTimeout.Std(),
+		MaxConnections: l.MaxConnections,
 	}
 	var err error
 	if d.Callers, err = d.callers.Listen(d.setting.Listen.Callers); err != nil {
@@ -107,9 +107,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), finishLimit)
 	defer cancel()
 	d.Entry.Withdraw()
-	d.callers.Retire()
+	d.callers.DisableKeepAlives()
 	calm{
-		Clock: d.Entry.Clock, Newest: d.Entry.Dispatch.Newest, Span: d.Entry.Current().Limits.Withdraw.Std(),
+		Clock: d.Entry.Clock, Newest: d.Entry.Dispatch.Newest, Span: d.Entry.Current().Limits.ShutdownDelay.Std(),
 	}.await()
 	d.Entry.Dispatch.EndStreams()
 	if err := d.callers.Shutdown(ctx); err != nil {
@@ -123,10 +123,10 @@
 }
 
 // Reload takes over newer settings and returns the keys of those that need a restart.
-func (d *Daemon) Reload(s setting.Setting) (restart []string) {
+func (d *Daemon) Reload(s setting.Settings) (restart []string) {
 	restart = d.Entry.Reload(s)
-	d.callers.Limit(s.Limits.Connections)
-	d.admin.Limit(s.Limits.Connections)
+	d.callers.SetMaxConnections(s.Limits.MaxConnections)
+	d.admin.SetMaxConnections(s.Limits.MaxConnections)
 	return restart
 }
 
--- a/services/dispatch/answer.go
+++ b/services/dispatch/answer.go
@@ -31,7 +31,7 @@
 		c.d.Leaving([]string{worker})
 	}
 	if got := header.Get(HeaderRequestID); got != "" && got != c.id {
-		return errkind.New(errkind.BadAnswer, "target %s answered another request", worker)
+		return errkind.New(errkind.BadResponse, "target %s answered another request", worker)
 	}
 	n := a.response.ContentLength
 	if n < 0 || n > wholeBody {
--- a/services/dispatch/attempt.go
+++ b/services/dispatch/attempt.go
@@ -73,7 +73,7 @@
 }
 
 // notRun reports whether an error says that no target had the request.
-func notRun(err error) bool { return errkind.Of(err).Kind.Answer().Outcome == errkind.NotRun }
+func notRun(err error) bool { return errkind.Of(err).Kind.Response().Outcome == errkind.NotRun }
 
 // mayRetry reports whether a failed attempt may be followed by another one:
 // always while no target can have seen it, and else only if the request may
--- a/services/dispatch/dispatcher.go
+++ b/services/dispatch/dispatcher.go
@@ -137,7 +137,7 @@
 // refuse answers with an error of the closed list.
 func (c *call) refuse(err error) {
 	e := errkind.Of(err)
-	switch e.Kind.Answer().Outcome {
+	switch e.Kind.Response().Outcome {
 	case errkind.NotRun:
 		c.d.Metrics.Refused.Inc(1)
 	case errkind.Unknown:
--- a/services/dispatch/faults_test.go
+++ b/services/dispatch/faults_test.go
@@ -171,7 +171,7 @@
 		b.closed[b.address(target)] = true
 	default:
 		b.targets[target].SetFaults(standin.TargetFaults{
-			Fail: fault == "fail", Cut: fault == "cut", Garbage: fault == "garbage", Swap: fault == "swap", Hang: fault == "hang",
+			Fail: fault == "fail", Truncate: fault == "cut", Garbage: fault == "garbage", WrongID: fault == "swap", Hang: fault == "hang",
 		})
 	}
 }
@@ -248,7 +248,7 @@
 	}
 	sends := 0
 	for _, target := range b.targets {
-		sends += target.Journal().Requests
+		sends += target.Stats().Requests
 	}
 	assert.Equal(t, sends, c.Sends)
 }
@@ -260,14 +260,14 @@
 	b := newBench(t)
 	b.setFaults(t, 0, "cut")
 	b.beforeLending = func(slots.Exchange) {
-		for b.targets[0].Journal().Requests == 1 && b.inUse("w0") > 0 {
+		for b.targets[0].Stats().Requests == 1 && b.inUse("w0") > 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	answer, body := b.send(t, faultCase{Method: http.MethodGet}, "")
 	assert.Equal(t, answer.StatusCode, http.StatusOK, body)
-	assert.Equal(t, b.targets[0].Journal().Requests, 1, "sent again to the target that has just failed")
-	assert.Equal(t, b.targets[1].Journal().Requests, 1)
+	assert.Equal(t, b.targets[0].Stats().Requests, 1, "sent again to the target that has just failed")
+	assert.Equal(t, b.targets[1].Stats().Requests, 1)
 }
 
 // TestNotRunIsNeverSaidOnceATargetHadTheRequest: a repeat that gets no slot is
@@ -280,13 +280,13 @@
 		b := newBench(t)
 		b.setFaults(t, 0, c.First)
 		b.beforeLending = func(slots.Exchange) {
-			if b.targets[0].Journal().Requests > 0 {
+			if b.targets[0].Stats().Requests > 0 {
 				b.d.Holder.Leaving([]string{"w0", "w1"})
 			}
 		}
 		c.Method, c.Timeout = http.MethodGet, "300ms"
 		answer, body := b.send(t, c, "")
-		assert.Equal(t, b.targets[0].Journal().Requests, 1)
+		assert.Equal(t, b.targets[0].Stats().Requests, 1)
 		assert.Equal(t, answer.Header.Get(errkind.HeaderOutcome), c.Outcome, "%s: %s", c.First, body)
 		assert.Equal(t, answer.StatusCode, c.Want, "%s: %s", c.First, body)
 	}
--- a/services/dispatch/keyed.go
+++ b/services/dispatch/keyed.go
@@ -30,7 +30,7 @@
 	a, err := c.attempt(c.d.single)
 	result := record.Result{Key: c.key, Claim: claimed.Offset}
 	if err != nil {
-		result.NotRun = errkind.Of(err).Kind.Answer().Outcome == errkind.NotRun
+		result.NotRun = errkind.Of(err).Kind.Response().Outcome == errkind.NotRun
 		c.finish(result)
 		return err
 	}
--- a/services/fleet/manager.go
+++ b/services/fleet/manager.go
@@ -145,7 +145,7 @@
 				return err
 			}
 			if n, err := strconv.Atoi(name); err == nil {
-				seen[n] = m.Clock.At(time.UnixMilli(at))
+				seen[n] = m.Clock.FromWallTime(time.UnixMilli(at))
 			}
 		}
 		if name, isDone := strings.CutPrefix(r.Key, keyDone); isDone {
@@ -166,7 +166,7 @@
 		if !i.Known {
 			m.view.actions[name] = &action{
 				instance: name, worker: i.Worker, born: i.Born, from: i.From, to: i.To, wave: i.Wave, stage: ordered,
-				began: m.Clock.At(time.UnixMilli(i.At)), sent: m.Clock.At(time.UnixMilli(i.At)),
+				began: m.Clock.FromWallTime(time.UnixMilli(i.At)), sent: m.Clock.FromWallTime(time.UnixMilli(i.At)),
 			}
 		}
 	}
@@ -288,7 +288,7 @@
 			continue
 		}
 		now := m.Clock.Now()
-		value, err := codec.Marshal(m.Clock.Date(now).UnixMilli())
+		value, err := codec.Marshal(m.Clock.WallTime(now).UnixMilli())
 		if err != nil {
 			return err
 		}
--- a/services/fleet/order.go
+++ b/services/fleet/order.go
@@ -70,7 +70,7 @@
 	if !i.Known {
 		least = max(least, unsettled)
 	}
-	return least - m.Clock.Now().Sub(m.Clock.At(time.UnixMilli(i.At)))
+	return least - m.Clock.Now().Sub(m.Clock.FromWallTime(time.UnixMilli(i.At)))
 }
 
 // act gives the orders that may be given, after their intents are kept.
@@ -122,7 +122,7 @@
 // within intentAge.
 func (m *Manager) intent(a *action, known bool, ahead time.Duration) (port.Record, error) {
 	value, err := codec.Marshal(intent{
-		Instance: a.instance, Worker: a.worker, To: a.to, Wave: a.wave, At: m.Clock.Date(m.Clock.Now().Add(ahead)).UnixMilli(), Known: known, From: a.from, Born: a.born,
+		Instance: a.instance, Worker: a.worker, To: a.to, Wave: a.wave, At: m.Clock.WallTime(m.Clock.Now().Add(ahead)).UnixMilli(), Known: known, From: a.from, Born: a.born,
 	})
 	return port.Record{Key: keyIntent + a.instance, Value: value}, err
 }
--- a/services/fleet/order_test.go
+++ b/services/fleet/order_test.go
@@ -73,7 +73,7 @@
 		}
 		m := claim("n1")
 		m.view.instances = map[string]port.Instance{"i": {Name: "i", Pool: "off", Condition: port.Up}}
-		w.Set("n1", func(f *world.Faults) { f.StoreSlow = answer })
+		w.SetFaults("n1", func(f *world.Faults) { f.StoreLatency = answer })
 		for range 2 { // the first shows how slow the store is
 			m.view.actions["i"] = &action{instance: "i", from: "off", to: "p", began: time.Now()}
 			assert.NilError(t, m.act(t.Context()))
--- a/services/gateway/gateway.go
+++ b/services/gateway/gateway.go
@@ -159,8 +159,8 @@
 	if !unknown || err == nil {
 		return err
 	}
-	row := errkind.Of(err).Kind.Answer()
-	if row.Outcome == errkind.NotRun && row.Retry > 0 {
+	row := errkind.Of(err).Kind.Response()
+	if row.Outcome == errkind.NotRun && row.RetryAfter > 0 {
 		return errkind.New(errkind.OutcomeUnknown, "pool %s: an earlier try got no answer, and then: %v", pool, err)
 	}
 	return err
--- a/services/jobs/decider_test.go
+++ b/services/jobs/decider_test.go
@@ -137,7 +137,7 @@
 	y.step("b", y.State())
 	y.step("a", stale)
 	y.pass(10*time.Second, "a", "b")
-	assert.Equal(t, y.platform.Starts(id), 1)
+	assert.Equal(t, y.platform.StartCount(id), 1)
 }
 
 func TestStarterLostBeforeItReports(t *testing.T) {
@@ -152,7 +152,7 @@
 	y.lead("b")
 	y.pass(10*time.Second, "b")
 	assert.Equal(t, y.run(id).State, record.Unknown)
-	assert.Equal(t, y.platform.Starts(id), 0)
+	assert.Equal(t, y.platform.StartCount(id), 0)
 	assert.Equal(t, y.run(repeatable).State, record.Done)
 }
 
@@ -160,10 +160,10 @@
 	y := newYard(1, "a")
 	y.lead("a")
 	id := y.submit("a", manifest.Job{Cores: 4, MemoryGB: 4, Command: "sleep 1s"})
-	y.platform.LoseAnswers(1)
+	y.platform.LoseResponses(1)
 	y.pass(10*time.Second, "a")
 	assert.Equal(t, y.run(id).State, record.Done)
-	assert.Equal(t, y.platform.Starts(id), 1)
+	assert.Equal(t, y.platform.StartCount(id), 1)
 }
 
 // TestStartThatNeverArrived: the platform did not answer the starter and never
@@ -186,7 +186,7 @@
 		y.pass(3*time.Second, "a")
 	}
 	assert.Equal(t, y.run(once).State, record.Unknown)
-	assert.Equal(t, y.platform.Starts(once), 0)
+	assert.Equal(t, y.platform.StartCount(once), 0)
 	assert.Equal(t, y.run(repeatable).State, record.Done)
 	assert.Equal(t, y.State().WorkerUsage("w0").Runs, 0)
 }
@@ -201,7 +201,7 @@
 	y.lead("a")
 	y.pass(3*time.Second, "a")
 	assert.Equal(t, y.run(id).State, record.Unknown)
-	assert.Equal(t, y.platform.Starts(id), 1)
+	assert.Equal(t, y.platform.StartCount(id), 1)
 }
 
 func TestWorkerThatFailsEverything(t *testing.T) {
@@ -241,7 +241,7 @@
 	urgent := y.submit("a", manifest.Job{Cores: 8, MemoryGB: 4, Class: manifest.Urgent, Command: "forever"})
 	y.pass(3*time.Second, "a")
 	y.pass(3*time.Second, "a")
-	assert.Equal(t, y.platform.Starts(urgent), 1)
+	assert.Equal(t, y.platform.StartCount(urgent), 1)
 	assert.Equal(t, y.run(batch).State, record.Pending)
 }
 
@@ -331,7 +331,7 @@
 		y.pass(3*time.Second, "a")
 	}
 	assert.Equal(t, y.run(id).State, record.Unknown)
-	assert.Equal(t, y.platform.Starts(id), 1)
+	assert.Equal(t, y.platform.StartCount(id), 1)
 }
 
 // TestDueWorkerIsTakenLast: a job on a worker that is due for maintenance would
--- a/services/journal/journal_test.go
+++ b/services/journal/journal_test.go
@@ -39,7 +39,7 @@
 	j := &Journal{Partition: port.Partition{Topic: "t"}, Store: counted, Logger: log.Nop()}
 	_, err := j.Claim(t.Context(), "n1")
 	assert.NilError(t, err)
-	w.Set("n1", func(f *world.Faults) { f.StoreSlow = slow })
+	w.SetFaults("n1", func(f *world.Faults) { f.StoreLatency = slow })
 	mu.Lock()
 	count = 0
 	mu.Unlock()
@@ -116,7 +116,7 @@
 			assert.NilError(t, last.Append(ctx, records))
 		}
 		for _, node := range []string{"n1", "n2"} {
-			w.Set(node, func(f *world.Faults) { f.StoreSlow = slow })
+			w.SetFaults(node, func(f *world.Faults) { f.StoreLatency = slow })
 		}
 		var claimed time.Time
 		var tasks sync.WaitGroup
--- a/services/journal/spare_test.go
+++ b/services/journal/spare_test.go
@@ -57,7 +57,7 @@
 // partition of a pool in a rush is among what is away. Without a spare one no batch is kept
 // before it answers again, and an owner refuses what comes after 0.4 s.
 func TestARushWhileThePartitionIsAway(t *testing.T) {
-	for _, absence := range []world.Absence{world.Refuses, world.Silent} {
+	for _, absence := range []world.Outage{world.Refusing, world.Unresponsive} {
 		inBubble(t, func(t *testing.T, ctx context.Context, w *world.World) {
 			j := newJournal(w, "n1")
 			_, err := j.Claim(ctx, "n1")
@@ -72,7 +72,7 @@
 			for n := range 20 {
 				keep(n)
 			}
-			w.SetAbsent(homeAt, absence)
+			w.SetOutage(homeAt, absence)
 			began, longest := time.Now(), time.Duration(0)
 			n := 20
 			for ; time.Since(began) < 6*time.Second; n++ {
@@ -82,12 +82,12 @@
 				assert.Assert(t, !j.IsStuck(2*spareLeast))
 			}
 			assert.Assert(t, longest < 2*spareLeast, "a batch waited %s", longest)
-			w.SetAbsent(homeAt, world.Present)
+			w.SetOutage(homeAt, world.Available)
 			for range 50 {
 				keep(n)
 				n++
 			}
-			w.SetAbsent(spareAt, absence) // all is at home again, and the spare one is not needed
+			w.SetOutage(spareAt, absence) // all is at home again, and the spare one is not needed
 			time.Sleep(sparePeriod)
 			keep(n)
 			time.Sleep(2 * spareSilent)
@@ -114,16 +114,16 @@
 		put(j, "a", "1")
 		put(j, "b", "1")
 		put(j, "c", "1")
-		w.SetAbsent(homeAt, world.Refuses)
+		w.SetOutage(homeAt, world.Refusing)
 		put(j, "a", "2")
 		put(j, "b", "")
 		_, err = newJournal(w, "n2").Claim(ctx, "n2")
 		assert.Assert(t, err != nil, "nobody may claim what does not answer")
-		w.SetAbsent(homeAt, world.Present)
-		w.SetAbsent(spareAt, world.Refuses)
+		w.SetOutage(homeAt, world.Available)
+		w.SetOutage(spareAt, world.Refusing)
 		_, err = newJournal(w, "n2").Claim(ctx, "n2")
 		assert.Assert(t, err != nil, "records may be in what does not answer")
-		w.SetAbsent(spareAt, world.Present)
+		w.SetOutage(spareAt, world.Available)
 		for n := range 3 { // each claims, and is gone before or after it has written
 			next := newJournal(w, "n3")
 			records, err := next.Claim(ctx, "n3")
@@ -154,12 +154,12 @@
 				}
 			}
 			keepFor(time.Second + start)
-			w.SetAbsent(spareAt, world.Silent)
+			w.SetOutage(spareAt, world.Unresponsive)
 			keepFor(time.Second)
 			gone()
 			_, err = newJournal(w, "n2").Claim(ctx, "n2")
 			assert.NilError(t, err, "after %s", start)
-			w.SetAbsent(spareAt, world.Present)
+			w.SetOutage(spareAt, world.Available)
 			time.Sleep(time.Second)
 		}
 	})
@@ -187,18 +187,18 @@
 			assert.Assert(t, put("a", time.Second))
 			time.Sleep(rushGap)
 		}
-		w.SetAbsent(spareAt, world.Silent)
+		w.SetOutage(spareAt, world.Unresponsive)
 		time.Sleep(sparePeriod)
 		assert.Assert(t, put("a", time.Second)) // asks the spare partition
 		time.Sleep(2 * spareSilent)
-		w.Set("n1", func(f *world.Faults) { f.StoreLost = 1 })
+		w.SetFaults("n1", func(f *world.Faults) { f.StoreLostResponses = 1 })
 		time.AfterFunc(rushGap, func() {
-			w.Set("n1", func(f *world.Faults) { f.StoreLost = 0 })
-			w.SetAbsent(homeAt, world.Silent)
-			w.SetAbsent(spareAt, world.Present)
+			w.SetFaults("n1", func(f *world.Faults) { f.StoreLostResponses = 0 })
+			w.SetOutage(homeAt, world.Unresponsive)
+			w.SetOutage(spareAt, world.Available)
 		})
 		kept := put("b", 2*time.Second) && put("c", 2*time.Second)
-		w.SetAbsent(homeAt, world.Present)
+		w.SetOutage(homeAt, world.Available)
 		records, err := newJournal(w, "n2").Claim(ctx, "n2")
 		assert.NilError(t, err)
 		_, there := values(records)["c"]
@@ -239,15 +239,15 @@
 
 func (h *history) play(ctx context.Context) {
 	troubles := []func(){
-		func() { h.w.SetAbsent(homeAt, world.Absence(h.r.IntN(3))) },
-		func() { h.w.SetAbsent(spareAt, world.Absence(h.r.IntN(3))) },
-		func() { h.w.SetAbsent(homeAt, world.Present); h.w.SetAbsent(spareAt, world.Present) },
+		func() { h.w.SetOutage(homeAt, world.Outage(h.r.IntN(3))) },
+		func() { h.w.SetOutage(spareAt, world.Outage(h.r.IntN(3))) },
+		func() { h.w.SetOutage(homeAt, world.Available); h.w.SetOutage(spareAt, world.Available) },
 		func() {
 			lost, slow := h.r.Float64()/2, time.Duration(h.r.IntN(300))*time.Millisecond
-			h.w.Set("n", func(f *world.Faults) { f.StoreLost, f.StoreSlow = lost, slow })
+			h.w.SetFaults("n", func(f *world.Faults) { f.StoreLostResponses, f.StoreLatency = lost, slow })
 		},
-		func() { h.w.Set("n", func(f *world.Faults) { f.StoreLost, f.StoreSlow = 0, 0 }) },
-		h.w.DropHistory,
+		func() { h.w.SetFaults("n", func(f *world.Faults) { f.StoreLostResponses, f.StoreLatency = 0, 0 }) },
+		h.w.CompactLog,
 	}
 	var last *Journal
 	for range 12 {
@@ -284,9 +284,9 @@
 		}
 		defer end()
 	}
-	h.w.SetAbsent(homeAt, world.Present)
-	h.w.SetAbsent(spareAt, world.Present)
-	h.w.Set("n", func(f *world.Faults) { f.StoreLost, f.StoreSlow = 0, 0 })
+	h.w.SetOutage(homeAt, world.Available)
+	h.w.SetOutage(spareAt, world.Available)
+	h.w.SetFaults("n", func(f *world.Faults) { f.StoreLostResponses, f.StoreLatency = 0, 0 })
 	records, err := newJournal(h.w, "n").Claim(ctx, "n")
 	assert.NilError(h.t, err)
 	h.check(records)
--- a/services/ledger/ledger_test.go
+++ b/services/ledger/ledger_test.go
@@ -52,7 +52,7 @@
 	g := start(t, l, "a", Peers{})
 	ctx := context.Background()
 	for n := range 20 {
-		l.SetFaults(standin.LogFaults{LoseAnswers: 2})
+		l.SetFaults(standin.LogFaults{LoseResponses: 2})
 		// A second application would clash with the first.
 		assert.NilError(t, g.ProposeOne(ctx, team("d", fmt.Sprintf("t%d", n), g.State().Catalog.Version)))
 	}
@@ -113,7 +113,7 @@
 // TestOutageLongerThanTheRetention: the log forgets how the state came about.
 func TestOutageLongerThanTheRetention(t *testing.T) {
 	fake := clock.NewFake(time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC))
-	l := &standin.Log{Clock: clock.Clock{NowFunc: fake.Now}, Retain: time.Hour}
+	l := &standin.Log{Clock: clock.Clock{NowFunc: fake.Now}, Retention: time.Hour}
 	a := start(t, l, "a", Peers{})
 	ctx := context.Background()
 	assert.NilError(t, a.ProposeOne(ctx, team("d", "early", 0)))
--- a/services/once/once.go
+++ b/services/once/once.go
@@ -78,7 +78,7 @@
 func notRun(err error) error {
 	e := errkind.Of(err)
 	if e.Kind == errkind.OutcomeUnknown {
-		return errkind.NewRetry(errkind.LogUnavailable, e.After(), "the key could not be claimed in time: %s", e.Message)
+		return errkind.NewRetry(errkind.LogUnavailable, e.RetryDelay(), "the key could not be claimed in time: %s", e.Message)
 	}
 	return err
 }
--- a/services/owner/overload_test.go
+++ b/services/owner/overload_test.go
@@ -98,7 +98,7 @@
 		id := job.ID(fmt.Sprintf("%016x", l.number))
 		l.mu.Unlock()
 		s := job.Submission{ID: id, Queue: "h/q/", Customer: customer, Spec: "s", Steps: []job.Step{{Count: 8, Size: job.Size{CPU: 2000, MemoryMB: 100}, Estimate: loadTakes}}}
-		l.world.Submitted(s)
+		l.world.RecordSubmission(s)
 		l.jobs.Go(func() { l.one(s) })
 		time.Sleep(time.Second / time.Duration(perSecond))
 	}
@@ -109,7 +109,7 @@
 	began := time.Now()
 	if err := l.owner.Submit(l.ctx, s); err != nil {
 		e := errkind.Of(err)
-		assert.Check(l.t, e.Kind == errkind.Overloaded && e.After() > 0 && time.Since(began) < 10*time.Millisecond, "%v", err)
+		assert.Check(l.t, e.Kind == errkind.Overloaded && e.RetryDelay() > 0 && time.Since(began) < 10*time.Millisecond, "%v", err)
 		return
 	}
 	l.count(s.Customer, func(o *outcome) { o.accepted++ })
--- a/services/owner/submit_test.go
+++ b/services/owner/submit_test.go
@@ -51,7 +51,7 @@
 		go func() { ended <- o.Run(ctx) }()
 		assert.NilError(t, o.Submit(ctx, submission("1")))
 
-		w.Set("n1", func(f *world.Faults) { f.StoreSilent = true })
+		w.SetFaults("n1", func(f *world.Faults) { f.StoreUnresponsive = true })
 		first, second, carried := make(chan error, 1), make(chan error, 1), make(chan error, 1)
 		go func() { carried <- o.Submit(ctx, submission("2")) }()
 		time.Sleep(100 * time.Millisecond) // an append carries job 2, and none yet job 3
@@ -60,7 +60,7 @@
 		go func() { second <- o.Submit(ctx, submission("3")) }()
 		assert.Assert(t, errkind.Is(<-first, errkind.LogUnavailable))
 
-		w.Set("n1", func(f *world.Faults) { f.StoreSilent = false })
+		w.SetFaults("n1", func(f *world.Faults) { f.StoreUnresponsive = false })
 		assert.NilError(t, <-carried)
 		assert.NilError(t, o.Submit(ctx, submission("4")))
 		assert.Assert(t, errkind.Is(<-second, errkind.LogUnavailable))
@@ -85,7 +85,7 @@
 		go func() { ended <- o.Run(ctx) }()
 		o.UpdateWorkers(ctx, []worker.Worker{{ID: id, Pool: "p", Instance: "m-1", Address: string(id), Capacity: job.Size{CPU: 16000, MemoryMB: 65536}}}, true)
 		time.Sleep(time.Second)
-		w.Set("n1", func(f *world.Faults) { f.StoreSlow = answer })
+		w.SetFaults("n1", func(f *world.Faults) { f.StoreLatency = answer })
 		began, empty := time.Now(), time.Duration(0)
 		for n := uint64(1); empty == 0; n++ {
 			asked := time.Now()
--- a/services/ownership/improve.go
+++ b/services/ownership/improve.go
@@ -54,7 +54,7 @@
 func (s *Manager) best(v *directory.View, owns map[string]int, now time.Time) string {
 	best, least := "", 0.0
 	for name, n := range v.Nodes {
-		if name == s.Directory.Self.Name || s.isUnable(name, now) || s.Clock.Date(now).Sub(time.Unix(0, int64(n.Incarnation))) < provedAfter { //nolint:gosec // a time
+		if name == s.Directory.Self.Name || s.isUnable(name, now) || s.Clock.WallTime(now).Sub(time.Unix(0, int64(n.Incarnation))) < provedAfter { //nolint:gosec // a time
 			continue
 		}
 		if l := load(n, owns[name]); best == "" || l < least || l == least && name < best {
--- a/services/scheduler/job.go
+++ b/services/scheduler/job.go
@@ -367,7 +367,7 @@
 }
 
 // due returns when a time of a job is due.
-func (p *Pool) due(j *jobState, round int) time.Time { return p.Clock.At(j.sub.DueAt(round)) }
+func (p *Pool) due(j *jobState, round int) time.Time { return p.Clock.FromWallTime(j.sub.DueAt(round)) }
 
 // stepTime is what passes beside a step's work until its end is told: its run is kept,
 // ordered, found ended and that is kept, each in some ten milliseconds, and its time is
--- a/services/scheduler/record.go
+++ b/services/scheduler/record.go
@@ -167,9 +167,9 @@
 }
 
 func (j *jobState) progress(c clock.Clock) progress {
-	d := progress{State: j.state, Accepted: c.Date(j.accepted).UnixMilli(), Began: j.began}
+	d := progress{State: j.state, Accepted: c.WallTime(j.accepted).UnixMilli(), Began: j.began}
 	if j.state.Final() {
-		d.Ended = c.Date(j.endedAt).UnixMilli()
+		d.Ended = c.WallTime(j.endedAt).UnixMilli()
 	}
 	if j.over() {
 		return d
@@ -287,11 +287,11 @@
 }
 
 func (p *Pool) restoreJob(s job.Submission, d progress, now time.Time, surely time.Duration) {
-	j := p.newJob(s, p.Clock.At(time.UnixMilli(d.Accepted)))
+	j := p.newJob(s, p.Clock.FromWallTime(time.UnixMilli(d.Accepted)))
 	j.state, j.began, j.stored, j.collected = d.State, d.Began, true, true
 	p.jobs[s.ID] = j
 	if d.State.Final() {
-		j.endedAt = p.Clock.At(time.UnixMilli(d.Ended))
+		j.endedAt = p.Clock.FromWallTime(time.UnixMilli(d.Ended))
 		p.ended = append(p.ended, endedJob{s.ID, now.Add(p.Limits.Retention)})
 	} else {
 		p.active = append(p.active, j)
--- a/standin/fleet_file.go
+++ b/standin/fleet_file.go
@@ -12,11 +12,11 @@
 
 // FleetFile describes the workers of the stand-in.
 type FleetFile struct {
-	Halls []Hall `toml:"hall"`
+	DataCenters []DataCenter `toml:"hall"`
 }
 
-// Hall is a hall with alike racks of alike workers.
-type Hall struct {
+// DataCenter is a hall with alike racks of alike workers.
+type DataCenter struct {
 	Name           string `toml:"name"`
 	Racks          int    `toml:"racks"`
 	WorkersPerRack int    `toml:"workers_per_rack"`
@@ -36,13 +36,13 @@
 		return nil, problems
 	}
 	var workers []fleet.Worker
-	for _, h := range f.Halls {
+	for _, h := range f.DataCenters {
 		workers = append(workers, h.workers()...)
 	}
 	return workers, nil
 }
 
-func (h Hall) workers() []fleet.Worker {
+func (h DataCenter) workers() []fleet.Worker {
 	var workers []fleet.Worker
 	for rack := 1; rack <= h.Racks; rack++ {
 		for n := 1; n <= h.WorkersPerRack; n++ {
--- a/standin/log.go
+++ b/standin/log.go
@@ -19,17 +19,17 @@
 
 // LogFaults are the failures of the log that a test can switch on.
 type LogFaults struct {
-	Down        bool          `json:"down"`         // nothing is taken and nothing read
-	LoseAnswers int           `json:"lose_answers"` // appends that take effect and report an error
-	Delay       time.Duration `json:"delay"`        // before each append takes effect
-	CutOff      string        `json:"cut_off"`      // name of a client that can't reach the log
+	Down          bool          `json:"down"`         // nothing is taken and nothing read
+	LoseResponses int           `json:"lose_answers"` // appends that take effect and report an error
+	Delay         time.Duration `json:"delay"`        // before each append takes effect
+	CutOff        string        `json:"cut_off"`      // name of a client that can't reach the log
 }
 
 // Log is an append-only log in memory; its zero value is empty and unlimited.
 type Log struct {
-	Clock     clock.Clock
-	PerSecond int           // appends a second, 0 for no limit
-	Retain    time.Duration // how long records are kept, 0 for ever
+	Clock            clock.Clock
+	AppendsPerSecond int           // appends a second, 0 for no limit
+	Retention        time.Duration // how long records are kept, 0 for ever
 
 	mu      sync.Mutex
 	first   uint64
@@ -88,7 +88,7 @@
 		return 0, unavailable()
 	}
 	if !l.takeCredit() {
-		return 0, errkind.New(errkind.Overloaded, "the log takes %d appends a second", l.PerSecond)
+		return 0, errkind.New(errkind.Overloaded, "the log takes %d appends a second", l.AppendsPerSecond)
 	}
 	offset := l.first + uint64(len(l.records))
 	l.records = append(l.records, record.Stored{Offset: offset, At: l.Clock.Now(), Data: data})
@@ -96,8 +96,8 @@
 	l.bytes += uint64(len(data))
 	l.trim()
 	l.wake()
-	if l.faults.LoseAnswers > 0 {
-		l.faults.LoseAnswers--
+	if l.faults.LoseResponses > 0 {
+		l.faults.LoseResponses--
 		return 0, errkind.New(errkind.OutcomeUnknown, "the answer of the append was lost")
 	}
 	return offset, nil
@@ -105,11 +105,11 @@
 
 // takeCredit is a token bucket with a fifth of a second of burst.
 func (l *Log) takeCredit() bool {
-	if l.PerSecond == 0 {
+	if l.AppendsPerSecond == 0 {
 		return true
 	}
 	now := l.Clock.Now()
-	rate := float64(l.PerSecond)
+	rate := float64(l.AppendsPerSecond)
 	burst := max(rate/5, 1)
 	if l.credAt.IsZero() {
 		l.credit = burst
@@ -126,10 +126,10 @@
 
 // trim drops what is older than the retention.
 func (l *Log) trim() {
-	if l.Retain == 0 {
+	if l.Retention == 0 {
 		return
 	}
-	oldest := l.Clock.Now().Add(-l.Retain)
+	oldest := l.Clock.Now().Add(-l.Retention)
 	n := 0
 	for n < len(l.records) && l.records[n].At.Before(oldest) {
 		n++
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// LoseAnswers makes the next actions take effect and report an error.
-func (p *Platform) LoseAnswers(n int) {
+// LoseResponses makes the next actions take effect and report an error.
+func (p *Platform) LoseResponses(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.loseNext = n
--- a/standin/run.go
+++ b/standin/run.go
@@ -23,21 +23,21 @@
 	readTimeout     = time.Minute // for the head of a call, and for its body
 )
 
-// Running is a stand-in that serves.
-type Running struct {
+// RunningServer is a stand-in that serves.
+type RunningServer struct {
 	Server  *Server
 	Address string
 
-	surface *httpserve.Surface
+	surface *httpserve.Server
 }
 
 // Options change the stand-in's behaviour; zero values take the defaults.
 type Options struct {
-	Address  string // to listen on
-	Lag      time.Duration
-	BootTime time.Duration
-	Retain   time.Duration
-	Appends  int // a second
+	Address          string // to listen on
+	Lag              time.Duration
+	BootTime         time.Duration
+	Retention        time.Duration
+	AppendsPerSecond int // a second
 }
 
 func orDefault[T comparable](v, fallback T) T {
@@ -50,13 +50,13 @@
 
 // Start serves a stand-in with a sample target for each worker, on the IP
 // number of its own address.
-func Start(o Options, workers []fleet.Worker) (*Running, error) {
+func Start(o Options, workers []fleet.Worker) (*RunningServer, error) {
 	s := &Server{
-		Log:      &Log{PerSecond: orDefault(o.Appends, defaultAppends), Retain: orDefault(o.Retain, defaultRetain)},
+		Log:      &Log{AppendsPerSecond: orDefault(o.AppendsPerSecond, defaultAppends), Retention: orDefault(o.Retention, defaultRetain)},
 		Platform: &Platform{Lag: orDefault(o.Lag, defaultLag), BootTime: orDefault(o.BootTime, defaultBootTime)},
 		Targets:  make(map[string]*Target),
 	}
-	surface := &httpserve.Surface{Handler: s.Handler(), ReadTimeout: readTimeout}
+	surface := &httpserve.Server{Handler: s.Handler(), ReadTimeout: readTimeout}
 	address, err := surface.Listen(o.Address)
 	if err != nil {
 		return nil, errors.Annotate(err, "stand-in")
@@ -73,7 +73,7 @@
 		s.Targets[w.ID] = t
 		s.Platform.SetWorker(w)
 	}
-	r := &Running{Server: s, Address: address, surface: surface}
+	r := &RunningServer{Server: s, Address: address, surface: surface}
 	go surface.Run(context.Background())
 	return r, nil
 }
@@ -83,7 +83,7 @@
 const stopLimit = 2 * time.Second
 
 // Stop has the calls that were taken end with their answers, and closes the stand-in.
-func (r *Running) Stop(ctx context.Context) error {
+func (r *RunningServer) Stop(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, stopLimit)
 	defer cancel()
 	err := r.surface.Shutdown(bounded)
@@ -92,7 +92,7 @@
 }
 
 // Close ends the stand-in and its targets at once.
-func (r *Running) Close(context.Context) {
+func (r *RunningServer) Close(context.Context) {
 	_ = r.surface.Close()
 	for _, t := range r.Server.Targets {
 		_ = t.Close()
--- a/standin/server.go
+++ b/standin/server.go
@@ -200,5 +200,5 @@
 		reply(w, nil, err)
 		return
 	}
-	reply(w, t.Journal(), nil)
+	reply(w, t.Stats(), nil)
 }
--- a/standin/target.go
+++ b/standin/target.go
@@ -25,16 +25,16 @@
 
 // TargetFaults are the failures of a target that a test can switch on.
 type TargetFaults struct {
-	Fail    bool          `json:"fail"`    // answers 500
-	Hang    bool          `json:"hang"`    // accepts and never answers
-	Garbage bool          `json:"garbage"` // answers something that is no HTTP
-	Cut     bool          `json:"cut"`     // breaks off in the midst of the body
-	Swap    bool          `json:"swap"`    // answers with another request's id
-	Slow    time.Duration `json:"slow"`    // added to the work
+	Fail     bool          `json:"fail"`    // answers 500
+	Hang     bool          `json:"hang"`    // accepts and never answers
+	Garbage  bool          `json:"garbage"` // answers something that is no HTTP
+	Truncate bool          `json:"cut"`     // breaks off in the midst of the body
+	WrongID  bool          `json:"swap"`    // answers with another request's id
+	Slow     time.Duration `json:"slow"`    // added to the work
 }
 
-// Journal is what a target has seen.
-type Journal struct {
+// TargetStats is what a target has seen.
+type TargetStats struct {
 	Requests    int            `json:"requests"`
 	MaxInFlight int            `json:"max_in_flight"`
 	MaxConns    int            `json:"max_conns"`
@@ -51,7 +51,7 @@
 
 	mu       sync.Mutex
 	faults   TargetFaults
-	journal  Journal
+	journal  TargetStats
 	inFlight int
 	conns    int
 	server   *http.Server
@@ -91,8 +91,8 @@
 	}
 }
 
-// Journal returns what the target has seen so far.
-func (t *Target) Journal() Journal {
+// Stats returns what the target has seen so far.
+func (t *Target) Stats() TargetStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	j := t.journal
@@ -174,10 +174,10 @@
 	case faults.Garbage:
 		breakOff(w, "this is no answer\r\n\r\n")
 		return
-	case faults.Cut:
+	case faults.Truncate:
 		breakOff(w, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nthe first part")
 		return
-	case faults.Swap:
+	case faults.WrongID:
 		id = "another"
 	}
 	w.Header().Set(headerRequestID, id)
--- a/standin/tasks.go
+++ b/standin/tasks.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Starts returns how often a task of a job run was started, over all attempts.
-func (p *Platform) Starts(run string) int {
+// StartCount returns how often a task of a job run was started, over all attempts.
+func (p *Platform) StartCount(run string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
@@ -43,8 +43,8 @@
 	return n
 }
 
-// Wanted returns how many processors the running tasks of each worker want.
-func (p *Platform) Wanted() map[string]int {
+// WantedCores returns how many processors the running tasks of each worker want.
+func (p *Platform) WantedCores() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.advance()
--- a/standin/world/advice.go
+++ b/standin/world/advice.go
@@ -17,9 +17,9 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// Policy has the workers of a pool run only steps for which they get a ticket,
+// RequireTickets has the workers of a pool run only steps for which they get a ticket,
 // which the advice service gives for about half of them.
-func (w *World) Policy(pool string, valid time.Duration) {
+func (w *World) RequireTickets(pool string, valid time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.policies[pool] = valid
--- a/standin/world/check.go
+++ b/standin/world/check.go
@@ -34,8 +34,8 @@
 // order that came before and is carried out late: an order can tell until when.
 const cancelTime = 3 * time.Second
 
-// Submitted tells the world of a job before it is handed in.
-func (w *World) Submitted(s job.Submission) {
+// RecordSubmission tells the world of a job before it is handed in.
+func (w *World) RecordSubmission(s job.Submission) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.jobs[s.ID] = &submitted{
@@ -45,16 +45,16 @@
 	}
 }
 
-// Cancelled tells the world that a job's cancelling was acknowledged.
-func (w *World) Cancelled(id job.ID) {
+// RecordCancel tells the world that a job's cancelling was acknowledged.
+func (w *World) RecordCancel(id job.ID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.jobs[id].cancelled = time.Now()
 }
 
-// Refused tells the world that each try to hand a job in was refused, and that its
+// RecordRefusal tells the world that each try to hand a job in was refused, and that its
 // caller has given up: it must not have begun, and never may.
-func (w *World) Refused(id job.ID) {
+func (w *World) RecordRefusal(id job.ID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.jobs[id].refused = true
@@ -83,8 +83,8 @@
 	return false
 }
 
-// Fails returns how often each task of a job has ended as failed, and on which workers.
-func (w *World) Fails(id job.ID) map[string][]worker.ID {
+// FailedOn returns how often each task of a job has ended as failed, and on which workers.
+func (w *World) FailedOn(id job.ID) map[string][]worker.ID {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.jobs[id].failed)
@@ -101,8 +101,8 @@
 	return len(j.done) == tasks
 }
 
-// Alone returns how many runs have waited in vain for the others of their gang.
-func (w *World) Alone() int {
+// GangTimeouts returns how many runs have waited in vain for the others of their gang.
+func (w *World) GangTimeouts() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.alone
@@ -201,10 +201,10 @@
 	}
 }
 
-// Attempts is how often a task may fail in the model's queues.
-const Attempts = 3
+// MaxAttempts is how often a task may fail in the model's queues.
+const MaxAttempts = 3
 
-func (w *World) attempts() int { return Attempts }
+func (w *World) attempts() int { return MaxAttempts }
 
 // ran notes a run's end. The lock is held.
 func (w *World) ran(o *Worker, r *running, how worker.EndReason) {
@@ -254,7 +254,7 @@
 			away++
 		}
 	}
-	if away >= step.MaxUnavailable && time.Now().After(w.fault(node).HeldUp) {
+	if away >= step.MaxUnavailable && time.Now().After(w.fault(node).OrdersDelayedUntil) {
 		w.broken("AVAIL: %s ends %s while %d others of its step are away", node, r.task, away)
 	}
 	j.ordered[r.task] = true
@@ -303,8 +303,8 @@
 	return false
 }
 
-// AtWork returns how many tasks of a step that lasts are at work.
-func (w *World) AtWork(ref job.StepRef) int {
+// WorkingTasks returns how many tasks of a step that lasts are at work.
+func (w *World) WorkingTasks(ref job.StepRef) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -316,8 +316,8 @@
 	return n
 }
 
-// Count returns how many tasks a step has.
-func (w *World) Count(ref job.StepRef) int {
+// TaskCount returns how many tasks a step has.
+func (w *World) TaskCount(ref job.StepRef) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.jobs[ref.Job].sub.Steps[ref.Step].Count
--- a/standin/world/check_test.go
+++ b/standin/world/check_test.go
@@ -24,26 +24,26 @@
 		rule   string // that is broken, "" for none
 	}{
 		{"a job that is wanted", func(*World) {}, ""},
-		{"a refused job", func(w *World) { w.Refused("0000000000000001") }, "REFUSED"},
+		{"a refused job", func(w *World) { w.RecordRefusal("0000000000000001") }, "REFUSED"},
 		{"soon after a cancel", func(w *World) {
-			w.Cancelled("0000000000000001")
+			w.RecordCancel("0000000000000001")
 			time.Sleep(cancelTime - orderTime)
 		}, ""},
 		{"long after a cancel", func(w *World) {
-			w.Cancelled("0000000000000001")
+			w.RecordCancel("0000000000000001")
 			time.Sleep(cancelTime + time.Millisecond)
 		}, "UNASKED"},
 		{"long after a cancel and out of touch", func(w *World) {
-			w.Cancelled("0000000000000001")
+			w.RecordCancel("0000000000000001")
 			time.Sleep(cancelTime + time.Millisecond)
-			w.Set("n1", func(f *Faults) { f.Apart = time.Now().Add(time.Second) })
+			w.SetFaults("n1", func(f *Faults) { f.IsolatedUntil = time.Now().Add(time.Second) })
 		}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := New(1)
 				id := w.AddWorker("m-1", "p", "r-1", job.Size{CPU: 1000, MemoryMB: 1000})
-				w.Submitted(job.Submission{ID: "0000000000000001", Spec: "poison", Steps: []job.Step{{Count: 1, Estimate: time.Second}}})
+				w.RecordSubmission(job.Submission{ID: "0000000000000001", Spec: "poison", Steps: []job.Step{{Count: 1, Estimate: time.Second}}})
 				c.before(w)
 				l := w.Workers("n1").Open(worker.Worker{ID: id})
 				a := l.Start(t.Context(), port.Start{Task: "0000000000000001.0.0.0", Number: 1, Spec: "poison", Deadline: time.Hour, Token: 1})
@@ -65,9 +65,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := New(1)
 		id := w.AddWorker("m-1", "p", "r-1", job.Size{})
-		w.Submitted(job.Submission{ID: "0000000000000001", Steps: []job.Step{{Count: 1}}})
+		w.RecordSubmission(job.Submission{ID: "0000000000000001", Steps: []job.Step{{Count: 1}}})
 		w.Workers("n1").Open(worker.Worker{ID: id}).Start(t.Context(), port.Start{Task: "0000000000000001.0.0.0", Number: 1, Deadline: time.Hour})
-		w.Refused("0000000000000001")
+		w.RecordRefusal("0000000000000001")
 		assert.Assert(t, strings.HasPrefix(strings.Join(w.Violations(), "\n"), "REFUSED"))
 	})
 }
@@ -79,14 +79,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := New(1)
 			id := w.AddWorker("m-1", "p", "r-1", job.Size{})
-			w.Submitted(job.Submission{ID: "0000000000000001", Steps: []job.Step{{Count: 1, Estimate: time.Second}}})
-			w.Touch(id, func(o *Worker) { o.Deaf = true })
+			w.RecordSubmission(job.Submission{ID: "0000000000000001", Steps: []job.Step{{Count: 1, Estimate: time.Second}}})
+			w.ChangeWorker(id, func(o *Worker) { o.DefersOrders = true })
 			a := w.Workers("n1").Open(worker.Worker{ID: id}).Start(t.Context(), port.Start{Task: "0000000000000001.0.0.0", Number: 1, Deadline: time.Hour})
 			assert.Equal(t, a.Result, port.Unknown)
-			w.Cancelled("0000000000000001")
+			w.RecordCancel("0000000000000001")
 			time.Sleep(deaf)
 			assert.Equal(t, len(w.Runs("0000000000000001")), 0)
-			w.Touch(id, func(o *Worker) { o.Deaf = false })
+			w.ChangeWorker(id, func(o *Worker) { o.DefersOrders = false })
 			assert.Equal(t, len(w.Runs("0000000000000001")), 1)
 			broken := strings.Join(w.Violations(), "\n")
 			assert.Assert(t, (broken == "") == (rule == "") && strings.HasPrefix(broken, rule), broken)
@@ -105,7 +105,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := New(1)
 			ids := []worker.ID{w.AddWorker("m-1", "p", "r-1", job.Size{}), w.AddWorker("m-2", "p", "r-1", job.Size{})}
-			w.Submitted(job.Submission{ID: "0000000000000001", Steps: []job.Step{{Count: 2, Estimate: time.Second, Gang: true}}})
+			w.RecordSubmission(job.Submission{ID: "0000000000000001", Steps: []job.Step{{Count: 2, Estimate: time.Second, Gang: true}}})
 			for i, id := range ids[:c.members] {
 				time.Sleep(100 * time.Millisecond)
 				task := []string{"0000000000000001.0.0.0", "0000000000000001.0.0.1"}[i]
--- a/standin/world/feed.go
+++ b/standin/world/feed.go
@@ -53,8 +53,8 @@
 	w.Write(operatorsAt, port.Record{Key: keyConfig, Value: encode(written{version, queues, pools, limits, customers})})
 }
 
-// AskWave writes a wave as an operator.
-func (w *World) AskWave(v wave.Wave) {
+// RequestWave writes a wave as an operator.
+func (w *World) RequestWave(v wave.Wave) {
 	w.mu.Lock()
 	w.waves[v.Number] = &waveWork{v.MaxConcurrent, v.Instances, make(map[string]bool)}
 	w.mu.Unlock()
@@ -93,8 +93,8 @@
 	}
 }
 
-// Told reports whether a wave was told as done.
-func (w *World) Told(number int) bool {
+// WaveReported reports whether a wave was told as done.
+func (w *World) WaveReported(number int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var done bool
--- a/standin/world/instance.go
+++ b/standin/world/instance.go
@@ -57,8 +57,8 @@
 	w.instances[name] = i
 }
 
-// Begun returns the instances whose maintenance for a wave has begun.
-func (w *World) Begun(number int) []string {
+// MaintenanceStarted returns the instances whose maintenance for a wave has begun.
+func (w *World) MaintenanceStarted(number int) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Sorted(maps.Keys(w.waves[number].begun))
@@ -82,8 +82,8 @@
 	}
 }
 
-// LoseOrders lets a share of the orders to instances be done and get no answer.
-func (w *World) LoseOrders(share float64) {
+// LoseOrderResponses lets a share of the orders to instances be done and get no answer.
+func (w *World) LoseOrderResponses(share float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ordersLost = share
--- a/standin/world/limit.go
+++ b/standin/world/limit.go
@@ -40,7 +40,7 @@
 }
 
 // storeless reports whether a node can't read the store, or learn from others what it says.
-func (f *Faults) storeless() bool { return f.StoreSilent || f.StoreRefuses || f.Cut }
+func (f *Faults) storeless() bool { return f.StoreUnresponsive || f.StoreUnavailable || f.PeersCut }
 
 // setLimits takes the limits of a configuration. The lock is held.
 func (w *World) setLimits(customers []config.Customer) {
@@ -78,8 +78,8 @@
 	return 0
 }
 
-// Using returns what a customer has running, over all workers.
-func (w *World) Using(customer string) job.Size {
+// Usage returns what a customer has running, over all workers.
+func (w *World) Usage(customer string) job.Size {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.using(customer)
--- a/standin/world/link.go
+++ b/standin/world/link.go
@@ -34,18 +34,18 @@
 	}
 	l.w.mu.Lock()
 	o := l.w.workers[l.id]
-	cut := l.w.fault(l.node).WorkersCut || o.Silent
+	cut := l.w.fault(l.node).WorkersCut || o.Unresponsive
 	if o.over && !cut {
 		defer l.w.mu.Unlock()
 		return port.Response{Result: port.Unreachable}
 	}
-	if cut || o.Late > 0 || o.Deaf {
+	if cut || o.OrderDelay > 0 || o.DefersOrders {
 		switch {
 		case cut:
-		case o.Deaf:
+		case o.DefersOrders:
 			o.unheard = append(o.unheard, func() { l.w.workers[l.id].take(token, do) })
 		default:
-			time.AfterFunc(o.Late, func() { l.w.carryOut(o, token, do) })
+			time.AfterFunc(o.OrderDelay, func() { l.w.carryOut(o, token, do) })
 		}
 		l.w.mu.Unlock()
 		_ = silence(ctx, callTimeout)
--- a/standin/world/network.go
+++ b/standin/world/network.go
@@ -29,9 +29,9 @@
 	once    sync.Once
 }
 
-// Silence lets all connections between nodes that are open fall silent for good: what
+// BlackholeConnections lets all connections between nodes that are open fall silent for good: what
 // is sent on them is lost, and no end of them is told. New ones work.
-func (w *World) Silence() { w.networks.silences.Add(1) }
+func (w *World) BlackholeConnections() { w.networks.silences.Add(1) }
 
 // Listen opens an address.
 func (w *World) Listen(address string) (net.Listener, error) {
@@ -78,7 +78,7 @@
 func (w *World) cut(a, b string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.fault(a).Cut || w.fault(b).Cut
+	return w.fault(a).PeersCut || w.fault(b).PeersCut
 }
 
 // Accept returns the next connection.
--- a/standin/world/restart.go
+++ b/standin/world/restart.go
@@ -16,9 +16,9 @@
 	clockJump  = time.Minute     // the furthest back that its machine's time of day has jumped, a quarter of the times
 )
 
-// RestartUnderID has workers that crash come back under the id that they had, from now on,
+// RestartWithSameID has workers that crash come back under the id that they had, from now on,
 // and all workers tell when they have started.
-func (w *World) RestartUnderID() {
+func (w *World) RestartWithSameID() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.reborn = true
@@ -38,7 +38,7 @@
 	}
 	w.past = append(w.past, before)
 	o := w.begin(i, i.pool, before.info.ID)
-	o.unheard, o.Deaf = before.unheard, before.Deaf
+	o.unheard, o.DefersOrders = before.unheard, before.DefersOrders
 	if w.random.IntN(4) == 0 {
 		o.info.StartedAt -= w.random.Int64N(clockJump.Milliseconds())
 	}
--- a/standin/world/running.go
+++ b/standin/world/running.go
@@ -44,7 +44,7 @@
 		return
 	}
 	how := worker.Done
-	if o.Fails || strings.Contains(r.spec, "poison") {
+	if o.FailsRuns || strings.Contains(r.spec, "poison") {
 		how = worker.Failed
 	}
 	if strings.Contains(r.spec, "lasts") {
--- a/standin/world/store.go
+++ b/standin/world/store.go
@@ -38,22 +38,22 @@
 	node string
 }
 
-// Absence says how a partition is away for all nodes.
-type Absence int
+// Outage says how a partition is away for all nodes.
+type Outage int
 
 // The ways in which a partition is away: its calls are refused, or get no answer.
 const (
-	Present Absence = iota
-	Refuses
-	Silent
+	Available Outage = iota
+	Refusing
+	Unresponsive
 )
 
-// SetAbsent has a partition be away, or answer again, for all nodes.
-func (w *World) SetAbsent(p port.Partition, a Absence) {
+// SetOutage has a partition be away, or answer again, for all nodes.
+func (w *World) SetOutage(p port.Partition, a Outage) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.absent == nil {
-		w.absent = make(map[port.Partition]Absence)
+		w.absent = make(map[port.Partition]Outage)
 	}
 	w.absent[p] = a
 }
@@ -63,14 +63,14 @@
 	s.w.mu.Lock()
 	f, absence := *s.w.fault(s.node), s.w.absent[at]
 	s.w.mu.Unlock()
-	if f.StoreSilent || absence == Silent {
+	if f.StoreUnresponsive || absence == Unresponsive {
 		return silence(ctx, callTimeout)
 	}
-	if f.StoreRefuses || absence == Refuses {
+	if f.StoreUnavailable || absence == Refusing {
 		return errkind.New(errkind.LogUnavailable, "turned away")
 	}
 	select {
-	case <-time.After(storeTime + f.StoreSlow):
+	case <-time.After(storeTime + f.StoreLatency):
 		return nil
 	case <-ctx.Done():
 		return errkind.New(errkind.OutcomeUnknown, "the caller has left")
@@ -81,7 +81,7 @@
 func (s *nodeStore) lost() bool {
 	s.w.mu.Lock()
 	defer s.w.mu.Unlock()
-	return s.w.random.Float64() < s.w.fault(s.node).StoreLost
+	return s.w.random.Float64() < s.w.fault(s.node).StoreLostResponses
 }
 
 // answer returns an append's outcome unless its answer is lost.
@@ -125,8 +125,8 @@
 	w.partition(p).add(records)
 }
 
-// DropHistory drops all records but the newest of each key.
-func (w *World) DropHistory() {
+// CompactLog drops all records but the newest of each key.
+func (w *World) CompactLog() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, p := range w.partitions {
--- a/standin/world/worker.go
+++ b/standin/world/worker.go
@@ -17,12 +17,12 @@
 // Worker is one life of an instance in the model. Its exported fields are faults
 // and are changed through World.Touch.
 type Worker struct {
-	Silent bool          // answers nothing, and runs on
-	Late   time.Duration // orders get no answer and are carried out after this
-	Deaf   bool          // orders get no answer and are carried out once it hears again
-	Hangs  bool          // what runs makes no progress
-	Slow   float64       // how many times as long work takes, 0 for once
-	Fails  bool          // all that begins fails
+	Unresponsive bool          // answers nothing, and runs on
+	OrderDelay   time.Duration // orders get no answer and are carried out after this
+	DefersOrders bool          // orders get no answer and are carried out once it hears again
+	Stalled      bool          // what runs makes no progress
+	Slowdown     float64       // how many times as long work takes, 0 for once
+	FailsRuns    bool          // all that begins fails
 
 	w       *World
 	info    worker.Worker
@@ -136,9 +136,9 @@
 	}
 }
 
-// Relist lists all lives again that are over, for a while: what a worker said of
+// RelistEnded lists all lives again that are over, for a while: what a worker said of
 // itself may be written late.
-func (w *World) Relist() {
+func (w *World) RelistEnded() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
@@ -180,8 +180,8 @@
 	w.partition(workersAt).add([]port.Record{{Key: string(id)}})
 }
 
-// Touch changes a worker's faults.
-func (w *World) Touch(id worker.ID, change func(o *Worker)) {
+// ChangeWorker changes a worker's faults.
+func (w *World) ChangeWorker(id worker.ID, change func(o *Worker)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	o := w.workers[id]
@@ -195,7 +195,7 @@
 	for _, r := range o.runs {
 		o.schedule(r)
 	}
-	if o.Deaf || o.over {
+	if o.DefersOrders || o.over {
 		return
 	}
 	for _, carryOut := range o.unheard {
@@ -256,10 +256,10 @@
 // speed is how much work is done in a second. The lock is held.
 func (o *Worker) speed() float64 {
 	switch {
-	case o.Hangs:
+	case o.Stalled:
 		return 0
-	case o.Slow > 0:
-		return 1 / o.Slow
+	case o.Slowdown > 0:
+		return 1 / o.Slowdown
 	}
 	return 1
 }
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -25,10 +25,10 @@
 	instances  map[string]*instance
 	waves      map[int]*waveWork
 	jobs       map[job.ID]*submitted
-	faults     map[string]*Faults         // by node
-	absent     map[port.Partition]Absence // partitions that are away
-	policies   map[string]time.Duration   // how long a ticket holds, by pool
-	ordersLost float64                    // share of the orders to instances that get no answer
+	faults     map[string]*Faults        // by node
+	absent     map[port.Partition]Outage // partitions that are away
+	policies   map[string]time.Duration  // how long a ticket holds, by pool
+	ordersLost float64                   // share of the orders to instances that get no answer
 	lives      int
 	reborn     bool                  // workers that crash come back under their id
 	past       []*Worker             // lives that are over and whose id another has
@@ -41,18 +41,20 @@
 
 // Faults are what is wrong for one node; the zero value is nothing.
 type Faults struct {
-	StoreSilent  bool          // calls to the store get no answer and do nothing
-	StoreRefuses bool          // calls to the store are refused
-	StoreLost    float64       // share of appends that are done and not answered
-	StoreSlow    time.Duration // added to each answer
-	Cut          bool          // nothing passes between this node and others
-	WorkersCut   bool          // nothing passes between this node and workers
-	Apart        time.Time     // until when the node is out of touch, for the rules with a time bound
-	HeldUp       time.Time     // until when its orders may be held up on their way
+	StoreUnresponsive  bool          // calls to the store get no answer and do nothing
+	StoreUnavailable   bool          // calls to the store are refused
+	StoreLostResponses float64       // share of appends that are done and not answered
+	StoreLatency       time.Duration // added to each answer
+	PeersCut           bool          // nothing passes between this node and others
+	WorkersCut         bool          // nothing passes between this node and workers
+	IsolatedUntil      time.Time     // until when the node is out of touch, for the rules with a time bound
+	OrdersDelayedUntil time.Time     // until when its orders may be held up on their way
 }
 
 // apart reports whether the rules with a time bound do not apply to a node now.
-func (f *Faults) apart() bool { return time.Now().Before(f.Apart) || time.Now().Before(f.HeldUp) }
+func (f *Faults) apart() bool {
+	return time.Now().Before(f.IsolatedUntil) || time.Now().Before(f.OrdersDelayedUntil)
+}
 
 // New returns an empty world whose luck is drawn from a seed.
 func New(seed uint64) *World {
@@ -68,8 +70,8 @@
 	}
 }
 
-// Set changes what is wrong for a node.
-func (w *World) Set(node string, change func(f *Faults)) {
+// SetFaults changes what is wrong for a node.
+func (w *World) SetFaults(node string, change func(f *Faults)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f := w.fault(node)
--- a/tests/load_test.go
+++ b/tests/load_test.go
@@ -72,7 +72,7 @@
 func (w *world) tellLate(ts *testscript.TestScript) {
 	late, most := 0, time.Duration(0)
 	for _, worker := range w.workers(ts) {
-		var j standin.Journal
+		var j standin.TargetStats
 		getJSON(ts, "http://"+w.standin+"/control/targets/"+worker+"/journal", &j)
 		late += j.Late
 		most = max(most, j.MaxLate)
@@ -223,7 +223,7 @@
 	l.busy++
 	l.mu.Unlock()
 	select {
-	case <-time.After(errkind.Overloaded.Answer().Retry):
+	case <-time.After(errkind.Overloaded.Response().RetryAfter):
 	case <-l.ctx.Done():
 	}
 }
--- a/tests/request_test.go
+++ b/tests/request_test.go
@@ -122,7 +122,7 @@
 func (w *world) cmdStarted(ts *testscript.TestScript, _ bool, args []string) {
 	waitUntil(ts, "the target has the request", func() bool {
 		for _, worker := range w.workers(ts) {
-			var j standin.Journal
+			var j standin.TargetStats
 			getJSON(ts, "http://"+w.standin+"/control/targets/"+worker+"/journal", &j)
 			if j.Runs[args[0]] > 0 {
 				return true
--- a/tests/target_test.go
+++ b/tests/target_test.go
@@ -66,8 +66,8 @@
 // cmdQuiet checks that a target gets no request while others do:
 // quiet WORKER LOAD.
 func (w *world) cmdQuiet(ts *testscript.TestScript, _ bool, args []string) {
-	journal := func() standin.Journal {
-		var j standin.Journal
+	journal := func() standin.TargetStats {
+		var j standin.TargetStats
 		getJSON(ts, "http://"+w.standin+"/control/targets/"+url.PathEscape(args[0])+"/journal", &j)
 		return j
 	}
--- a/tests/world_test.go
+++ b/tests/world_test.go
@@ -211,7 +211,7 @@
 // fails beyond N; journals runs-once fails if a key ran twice.
 func (w *world) cmdJournals(ts *testscript.TestScript, _ bool, args []string) {
 	for _, worker := range w.workers(ts) {
-		var j standin.Journal
+		var j standin.TargetStats
 		getJSON(ts, "http://"+w.standin+"/control/targets/"+worker+"/journal", &j)
 		switch args[0] {
 		case "max-in-flight":
