--- a/adapters/noderpc/client.go
+++ b/adapters/noderpc/client.go
@@ -28,8 +28,8 @@
 	// Dial opens a connection; nil does over TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
-	// Found is told of each connection that was found silent; nil tells nobody.
-	Found func(address string, after time.Duration)
+	// OnUnresponsive is told of each connection that was found silent; nil tells nobody.
+	OnUnresponsive func(address string, after time.Duration)
 
 	once  sync.Once
 	conns rpcconn.Client
@@ -37,7 +37,7 @@
 
 // table returns the connections, set up at the first use.
 func (c *Client) table() *rpcconn.Client {
-	c.once.Do(func() { c.conns.Dial, c.conns.Logger, c.conns.OnUnresponsive = c.dial, &c.Logger, c.Found })
+	c.once.Do(func() { c.conns.Dial, c.conns.Logger, c.conns.OnUnresponsive = c.dial, &c.Logger, c.OnUnresponsive })
 	return &c.conns
 }
 
--- a/adapters/noderpc/server.go
+++ b/adapters/noderpc/server.go
@@ -16,21 +16,21 @@
 	"github.com/yardbridge/yardbridge/modules/rpcconn"
 )
 
-// Method answers one method; it gets the parameters as they came.
-type Method func(ctx context.Context, params json.RawMessage) (any, error)
+// HandlerFunc answers one method; it gets the parameters as they came.
+type HandlerFunc func(ctx context.Context, params json.RawMessage) (any, error)
 
 // Server takes the calls of other nodes; its fields are set before Listen.
 type Server struct {
-	Methods map[string]Method
+	Methods map[string]HandlerFunc
 	Logger  log.Logger
-	// Open opens the address; nil does over TCP.
-	Open func(address string) (net.Listener, error)
+	// OpenListener opens the address; nil does over TCP.
+	OpenListener func(address string) (net.Listener, error)
 
 	listener net.Listener
 }
 
 // Handle returns a method whose parameters are of a type.
-func Handle[P any](do func(ctx context.Context, params P) (any, error)) Method {
+func Handle[P any](do func(ctx context.Context, params P) (any, error)) HandlerFunc {
 	return func(ctx context.Context, raw json.RawMessage) (any, error) {
 		var params P
 		if err := json.Unmarshal(raw, &params); err != nil {
@@ -42,7 +42,7 @@
 
 // Listen opens the address and returns the one it got.
 func (s *Server) Listen(address string) (string, error) {
-	open := s.Open
+	open := s.OpenListener
 	if open == nil {
 		open = func(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 	}
--- a/adapters/peerrpc/client.go
+++ b/adapters/peerrpc/client.go
@@ -92,14 +92,14 @@
 func (c *Client) Close() { c.table().Close() }
 
 // Exchange sends a slots exchange.
-func (c *Client) Exchange(ctx context.Context, entry string, x slots.Exchange) (slots.Granted, error) {
-	var g slots.Granted
+func (c *Client) Exchange(ctx context.Context, entry string, x slots.Exchange) (slots.ExchangeResponse, error) {
+	var g slots.ExchangeResponse
 	err := c.call(ctx, entry, methodExchange, x, &g)
 	return g, err
 }
 
-// Poke sends a poke.
-func (c *Client) Poke(ctx context.Context, entry string, p slots.Poke) error {
+// Notify sends a poke.
+func (c *Client) Notify(ctx context.Context, entry string, p slots.Notification) error {
 	return c.call(ctx, entry, methodPoke, p, nil)
 }
 
@@ -110,41 +110,41 @@
 	return answer, err
 }
 
-// Help has a helper probe an entry; it returns nil if that answered.
-func (c *Client) Help(ctx context.Context, helper, entry string) error {
+// ProbeIndirectly has a helper probe an entry; it returns nil if that answered.
+func (c *Client) ProbeIndirectly(ctx context.Context, helper, entry string) error {
 	var nothing struct{}
-	return c.call(ctx, helper, methodHelp, HelpAsk{Entry: entry}, &nothing)
+	return c.call(ctx, helper, methodHelp, IndirectProbeRequest{Entry: entry}, &nothing)
 }
 
-// Leaving tells which targets leave.
-func (c *Client) Leaving(ctx context.Context, entry string, workers []string) error {
-	return c.call(ctx, entry, methodLeaving, Workers{IDs: workers}, nil)
+// AnnounceLeaving tells which targets leave.
+func (c *Client) AnnounceLeaving(ctx context.Context, entry string, workers []string) error {
+	return c.call(ctx, entry, methodLeaving, LeavingMessage{IDs: workers}, nil)
 }
 
 // Relay asks for records from an offset on.
-func (c *Client) Relay(ctx context.Context, entry string, from uint64) (RelayAnswer, error) {
-	var a RelayAnswer
-	err := c.call(ctx, entry, methodRelay, RelayAsk{From: from}, &a)
+func (c *Client) Relay(ctx context.Context, entry string, from uint64) (RelayResponse, error) {
+	var a RelayResponse
+	err := c.call(ctx, entry, methodRelay, RelayRequest{From: from}, &a)
 	return a, err
 }
 
 // Append has an entry append a batch of this process.
 func (c *Client) Append(ctx context.Context, entry string, data []byte) error {
 	var nothing struct{}
-	return c.call(ctx, entry, methodAppend, AppendAsk{Data: data}, &nothing)
+	return c.call(ctx, entry, methodAppend, AppendRequest{Data: data}, &nothing)
 }
 
-// WholeAt asks the entry at an address for its whole state.
-func (c *Client) WholeAt(ctx context.Context, address string) (WholeAnswer, error) {
-	var a WholeAnswer
+// StateAt asks the entry at an address for its whole state.
+func (c *Client) StateAt(ctx context.Context, address string) (StateResponse, error) {
+	var a StateResponse
 	err := c.callAddress(ctx, address, methodWhole, struct{}{}, &a)
 	return a, err
 }
 
-// Reached waits for a while until an entry has folded the log up to a mark, and
+// AwaitMark waits for a while until an entry has folded the log up to a mark, and
 // returns whether it has.
-func (c *Client) Reached(ctx context.Context, entry string, m state.Position) (bool, error) {
-	var a ReachedAnswer
+func (c *Client) AwaitMark(ctx context.Context, entry string, m state.Position) (bool, error) {
+	var a AwaitMarkResponse
 	err := c.call(ctx, entry, methodReached, m, &a)
 	return a.Reached, err
 }
--- a/adapters/peerrpc/message.go
+++ b/adapters/peerrpc/message.go
@@ -26,51 +26,51 @@
 	methodReached  = "log.reached"
 )
 
-// Workers names workers.
-type Workers struct {
+// LeavingMessage names workers.
+type LeavingMessage struct {
 	IDs []string `json:"ids"`
 }
 
-// HelpAsk asks to probe an entry.
-type HelpAsk struct {
+// IndirectProbeRequest asks to probe an entry.
+type IndirectProbeRequest struct {
 	Entry string `json:"entry"`
 }
 
-// RelayAsk asks for records from an offset on.
-type RelayAsk struct {
+// RelayRequest asks for records from an offset on.
+type RelayRequest struct {
 	From uint64 `json:"from"`
 }
 
-// RelayAnswer holds records and the age of the peer's contact with the log.
-type RelayAnswer struct {
-	Records []record.Stored `json:"records,omitempty"`
-	Age     time.Duration   `json:"age"` // nanoseconds
+// RelayResponse holds records and the age of the peer's contact with the log.
+type RelayResponse struct {
+	Records    []record.Stored `json:"records,omitempty"`
+	ContactAge time.Duration   `json:"age"` // nanoseconds
 }
 
-// AppendAsk asks a peer to append a batch of the asking process.
-type AppendAsk struct {
+// AppendRequest asks a peer to append a batch of the asking process.
+type AppendRequest struct {
 	Data []byte `json:"data"`
 }
 
-// WholeAnswer holds an encoded state.
-type WholeAnswer struct {
+// StateResponse holds an encoded state.
+type StateResponse struct {
 	Data []byte `json:"data"`
 }
 
-// ReachedAnswer says whether an entry has folded the log up to a mark.
-type ReachedAnswer struct {
+// AwaitMarkResponse says whether an entry has folded the log up to a mark.
+type AwaitMarkResponse struct {
 	Reached bool `json:"reached"`
 }
 
 // Handlers are what an entry does on each message; all must be set.
 type Handlers struct {
-	Exchange func(slots.Exchange) slots.Granted
-	Poke     func(slots.Poke)
-	Probe    func(members.Message) members.Message
-	Help     func(ctx context.Context, entry string) error
-	Leaving  func(workers []string)
-	Relay    func(from uint64) RelayAnswer
-	Append   func(ctx context.Context, data []byte) error
-	Whole    func() (WholeAnswer, error)
-	Reached  func(ctx context.Context, m state.Position) ReachedAnswer
+	Exchange        func(slots.Exchange) slots.ExchangeResponse
+	Notify          func(slots.Notification)
+	Probe           func(members.Message) members.Message
+	ProbeIndirectly func(ctx context.Context, entry string) error
+	Leaving         func(workers []string)
+	Relay           func(from uint64) RelayResponse
+	Append          func(ctx context.Context, data []byte) error
+	State           func() (StateResponse, error)
+	AwaitMark       func(ctx context.Context, m state.Position) AwaitMarkResponse
 }
--- a/adapters/peerrpc/server.go
+++ b/adapters/peerrpc/server.go
@@ -66,21 +66,21 @@
 	case methodExchange:
 		return handled(r, func(x slots.Exchange) (any, error) { return h.Exchange(x), nil })
 	case methodPoke:
-		return handled(r, func(p slots.Poke) (any, error) { h.Poke(p); return nil, nil })
+		return handled(r, func(p slots.Notification) (any, error) { h.Notify(p); return nil, nil })
 	case methodProbe:
 		return handled(r, func(m members.Message) (any, error) { return h.Probe(m), nil })
 	case methodHelp:
-		return handled(r, func(a HelpAsk) (any, error) { return nil, h.Help(ctx, a.Entry) })
+		return handled(r, func(a IndirectProbeRequest) (any, error) { return nil, h.ProbeIndirectly(ctx, a.Entry) })
 	case methodLeaving:
-		return handled(r, func(w Workers) (any, error) { h.Leaving(w.IDs); return nil, nil })
+		return handled(r, func(w LeavingMessage) (any, error) { h.Leaving(w.IDs); return nil, nil })
 	case methodRelay:
-		return handled(r, func(a RelayAsk) (any, error) { return h.Relay(a.From), nil })
+		return handled(r, func(a RelayRequest) (any, error) { return h.Relay(a.From), nil })
 	case methodAppend:
-		return handled(r, func(a AppendAsk) (any, error) { return nil, h.Append(ctx, a.Data) })
+		return handled(r, func(a AppendRequest) (any, error) { return nil, h.Append(ctx, a.Data) })
 	case methodWhole:
-		return h.Whole()
+		return h.State()
 	case methodReached:
-		return handled(r, func(m state.Position) (any, error) { return h.Reached(ctx, m), nil })
+		return handled(r, func(m state.Position) (any, error) { return h.AwaitMark(ctx, m), nil })
 	}
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: r.Method}
 }
--- a/adapters/platformhttp/client.go
+++ b/adapters/platformhttp/client.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return 0, err
 	}
-	var answer Appended
+	var answer AppendResponse
 	if err := json.Unmarshal(body, &answer); err != nil {
 		return 0, errkind.New(errkind.OutcomeUnknown, "unreadable answer of the log: %v", err)
 	}
@@ -84,7 +84,7 @@
 	if err := codec.Unmarshal(body, &page); err != nil {
 		return platform.Page{}, errors.Annotate(err, "page of the log")
 	}
-	return page.Port(), nil
+	return page.ToPlatform(), nil
 }
 
 func (c *Client) list(ctx context.Context, known uint64) (platform.Listing, error) {
@@ -104,15 +104,15 @@
 }
 
 func (c *Client) renew(ctx context.Context, worker string, ids []string, life time.Duration) error {
-	return c.post(ctx, workerPath(worker, "renew"), Renewal{IDs: ids, Life: life})
+	return c.post(ctx, workerPath(worker, "renew"), RenewRequest{IDs: ids, LeaseTTL: life})
 }
 
 func (c *Client) stop(ctx context.Context, worker, id string, checkpoint bool) error {
-	return c.post(ctx, workerPath(worker, "stop"), Halt{ID: id, Checkpoint: checkpoint})
+	return c.post(ctx, workerPath(worker, "stop"), StopRequest{ID: id, Checkpoint: checkpoint})
 }
 
 func (c *Client) throttle(ctx context.Context, worker, id string, cores int) error {
-	return c.post(ctx, workerPath(worker, "throttle"), Limit{ID: id, Cores: cores})
+	return c.post(ctx, workerPath(worker, "throttle"), ThrottleRequest{ID: id, Cores: cores})
 }
 
 func workerPath(worker, action string) string {
--- a/adapters/platformhttp/wire.go
+++ b/adapters/platformhttp/wire.go
@@ -36,8 +36,8 @@
 	return w
 }
 
-// Port returns the page in the core's form.
-func (p Page) Port() platform.Page {
+// ToPlatform returns the page in the core's form.
+func (p Page) ToPlatform() platform.Page {
 	c := platform.Page{First: p.First, Next: p.Next}
 	for _, r := range p.Records {
 		c.Records = append(c.Records, record.Stored{Offset: r.Offset, At: time.Unix(0, r.AtNano).UTC(), Data: r.Data})
@@ -45,25 +45,25 @@
 	return c
 }
 
-// Appended is the answer to an append.
-type Appended struct {
+// AppendResponse is the answer to an append.
+type AppendResponse struct {
 	Offset uint64 `json:"offset"`
 }
 
-// Renewal is the body that renews the leases of tasks.
-type Renewal struct {
-	IDs  []string      `json:"ids"`
-	Life time.Duration `json:"life"` // nanoseconds
+// RenewRequest is the body that renews the leases of tasks.
+type RenewRequest struct {
+	IDs      []string      `json:"ids"`
+	LeaseTTL time.Duration `json:"life"` // nanoseconds
 }
 
-// Halt is the body that stops a task.
-type Halt struct {
+// StopRequest is the body that stops a task.
+type StopRequest struct {
 	ID         string `json:"id"`
 	Checkpoint bool   `json:"checkpoint"`
 }
 
-// Limit is the body that throttles a task.
-type Limit struct {
+// ThrottleRequest is the body that throttles a task.
+type ThrottleRequest struct {
 	ID    string `json:"id"`
 	Cores int    `json:"cores"`
 }
--- a/benchmarks/cluster_test.go
+++ b/benchmarks/cluster_test.go
@@ -132,7 +132,7 @@
 
 // url returns the address of a path through an entry.
 func (c *cluster) url(entry int, path string) string {
-	return "http://" + c.daemons[entry%len(c.daemons)].Callers + path
+	return "http://" + c.daemons[entry%len(c.daemons)].CallerAddress + path
 }
 
 // maxSlots returns the most requests that a target had at once.
--- a/benchmarks/control_test.go
+++ b/benchmarks/control_test.go
@@ -147,7 +147,7 @@
 			port := c.platform.Server.Platform.Tasks()
 			for n := range tasks {
 				err := port.Start(b.Context(), platform.Task{
-					ID: fmt.Sprintf("%d.run-%08d#1", start.Unix(), n), Worker: fmt.Sprintf("w%04d", n%12), Command: "forever", Life: time.Hour,
+					ID: fmt.Sprintf("%d.run-%08d#1", start.Unix(), n), Worker: fmt.Sprintf("w%04d", n%12), Command: "forever", LeaseTTL: time.Hour,
 				})
 				if err != nil {
 					b.Fatal(err)
--- a/benchmarks/decide_test.go
+++ b/benchmarks/decide_test.go
@@ -15,7 +15,7 @@
 
 // plan folds the plan for the state as it is, and returns it.
 func (y *yard) plan() pools.Plan {
-	p := pools.Make(y.s, writer, 1, y.now)
+	p := pools.MakePlan(y.s, writer, 1, y.now)
 	for from := 0; from < len(p.Records); from += 400 {
 		y.fold(p.Records[from:min(from+400, len(p.Records))]...)
 	}
--- a/benchmarks/overload_test.go
+++ b/benchmarks/overload_test.go
@@ -186,7 +186,7 @@
 		o.run(100 * time.Millisecond)
 		aside := 0
 		for _, d := range c.daemons {
-			aside += len(d.Entry.Watch.Aside())
+			aside += len(d.Entry.Outliers.Ejected())
 		}
 		if o.good.Load() == o.sent.Load() && aside == 0 || time.Since(begun) > time.Minute {
 			return time.Since(begun).Seconds()
--- a/benchmarks/place_test.go
+++ b/benchmarks/place_test.go
@@ -126,7 +126,7 @@
 	w.clock.Advance(tick)
 	w.now = w.clock.Now()
 	w.fold(record.Record{Lease: &record.Lease{Role: record.RoleJobs, TTL: time.Minute}})
-	w.decider.Once(context.Background(), w.s)
+	w.decider.RunOnce(context.Background(), w.s)
 	w.decider.AwaitStarts()
 }
 
--- a/cmd/apply.go
+++ b/cmd/apply.go
@@ -102,13 +102,13 @@
 // has them all.
 const calendarRows = 12
 
-func sayCalendar(c console, calendar []pools.Due) {
+func sayCalendar(c console, calendar []pools.RackDue) {
 	if len(calendar) == 0 {
 		return
 	}
 	c.say("  maintenance, by rack:")
 	for _, d := range calendar[:min(calendarRows, len(calendar))] {
-		c.say("    %s %s: %d instances, from %s, by %s", d.Hall, d.Rack, d.Instances, sayTime(d.From), sayTime(d.By))
+		c.say("    %s %s: %d instances, from %s, by %s", d.DataCenter, d.Rack, d.Instances, sayTime(d.From), sayTime(d.By))
 	}
 	if more := len(calendar) - calendarRows; more > 0 {
 		c.say("    and %d more racks", more)
--- a/cmd/get.go
+++ b/cmd/get.go
@@ -33,7 +33,7 @@
 }
 
 func getObjects(ctx context.Context, c console, api *client) error {
-	o, data, err := fetch[apiv1.Objects](ctx, api, http.MethodGet, "/objects", nil)
+	o, data, err := fetch[apiv1.ObjectList](ctx, api, http.MethodGet, "/objects", nil)
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 	api.show(c, data, func() {
 		c.say("%-16s %-14s %-10s %-8s %-12s %-10s %s", "WORKER", "POOL", "HALL", "RACK", "PHASE", "CONDITION", "ADDRESS")
 		for _, r := range rows {
-			c.say("%-16s %-14s %-10s %-8s %-12s %-10s %s", r.Worker, r.Pool, r.Hall, r.Rack, r.Phase, r.Condition, r.Address)
+			c.say("%-16s %-14s %-10s %-8s %-12s %-10s %s", r.Worker, r.Pool, r.DataCenter, r.Rack, r.Phase, r.Condition, r.Address)
 		}
 	})
 	return nil
--- a/cmd/job.go
+++ b/cmd/job.go
@@ -67,11 +67,11 @@
 }
 
 func cancelJobs(ctx context.Context, c console, api *client, ids []string) error {
-	body, err := json.Marshal(apiv1.Cancellation{IDs: ids})
+	body, err := json.Marshal(apiv1.CancelRequest{IDs: ids})
 	if err != nil {
 		return errors.Trace(err)
 	}
-	r, data, err := fetch[jobs.Cancelled](ctx, api, http.MethodPost, "/jobs/cancel", body)
+	r, data, err := fetch[jobs.CancelResult](ctx, api, http.MethodPost, "/jobs/cancel", body)
 	if err != nil {
 		return err
 	}
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -49,7 +49,7 @@
 	}
 	c.signals.serving(func() { reloadEntry(ctx, d, *path) }, func() { c.writeDump(d) })
 	c.say("entry %s serves callers at %s, administration at %s, peers at %s",
-		s.Entry.Name, d.Callers, d.Admin, d.Entry.Setting.Listen.Peers)
+		s.Entry.Name, d.CallerAddress, d.AdminAddress, d.Entry.Setting.Listen.Peers)
 	return c.serveUntil(ctx, d)
 }
 
@@ -66,7 +66,7 @@
 		case <-ticker.C:
 			if d.Entry.Ledger.Removed() {
 				d.Kill()
-				return errors.Trace(entry.ErrDeposed)
+				return errors.Trace(entry.ErrReplaced)
 			}
 		}
 	}
--- a/cmd/standalone.go
+++ b/cmd/standalone.go
@@ -119,11 +119,11 @@
 func (c console) sayStandalone(daemons []*daemon.Daemon, example examples.Example, workers int) {
 	c.say("deployment %s runs with %d workers and %d entries:", example.Name, workers, len(daemons))
 	for _, d := range daemons {
-		c.say("  %s  callers http://%s  administration %s", d.Entry.Setting.Entry.Name, d.Callers, d.Admin)
+		c.say("  %s  callers http://%s  administration %s", d.Entry.Setting.Entry.Name, d.CallerAddress, d.AdminAddress)
 	}
 	c.say("")
 	c.say("try next, in another terminal:")
-	c.say("  curl -i 'http://%s/s/%s/hello?work=5ms'", daemons[0].Callers, example.Service)
-	c.say("  go run . status -server %s -token %s", daemons[0].Admin, standaloneToken)
-	c.say("  go run . plan -server %s -token %s examples/%s.toml", daemons[1].Admin, standaloneToken, example.Name)
+	c.say("  curl -i 'http://%s/s/%s/hello?work=5ms'", daemons[0].CallerAddress, example.Service)
+	c.say("  go run . status -server %s -token %s", daemons[0].AdminAddress, standaloneToken)
+	c.say("  go run . plan -server %s -token %s examples/%s.toml", daemons[1].AdminAddress, standaloneToken, example.Name)
 }
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -28,7 +28,7 @@
 
 func sayStatus(c console, s apiv1.Status) {
 	c.say("entry %s  ready: %s  offset %d  version %d", s.Entry, s.Ready, s.Offset, s.Version)
-	c.say("roster: %s", strings.Join(s.Roster, ", "))
+	c.say("roster: %s", strings.Join(s.Members, ", "))
 	c.say("%-20s %6s %8s %8s %10s %6s", "POOL", "SIZE", "PRESENT", "SERVING", "MUST STAY", "SPARE")
 	for _, p := range s.Pools {
 		c.say("%-20s %6d %8d %8d %10d %6d", p.Pool, p.Size, p.Present, p.Serving, p.Available, p.Spare)
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -17,26 +17,26 @@
 
 // Dump is the state of the process, without secrets.
 type Dump struct {
-	Setting    setting.Settings                  `json:"setting"`
-	Offset     uint64                            `json:"offset"`
-	LogTime    time.Time                         `json:"log_time"`
-	Contact    time.Time                         `json:"contact"`
-	Version    uint64                            `json:"version"`
-	Entries    map[string]state.Entry            `json:"entries"`
-	Leases     map[string]state.Lease            `json:"leases"`
-	Members    []members.Member                  `json:"members"`
-	Lent       []slots.Account                   `json:"lent"`
-	Held       []slots.Target                    `json:"held"`
-	Waiting    map[string]int                    `json:"waiting"`
-	Aside      map[string]time.Time              `json:"targets_aside"`
-	Backlog    int                               `json:"log_backlog"`
-	Claims     int                               `json:"claims"`
-	Runs       int                               `json:"runs"`
-	RunsWait   map[string]map[string]jobs.Reason `json:"runs_waiting"`
-	Plan       pools.Plan                        `json:"plan"`
-	Unreadable uint64                            `json:"unreadable_records"`
-	Goroutines int                               `json:"goroutines"`
-	HeapBytes  uint64                            `json:"heap_bytes"`
+	Setting     setting.Settings                  `json:"setting"`
+	Offset      uint64                            `json:"offset"`
+	LogTime     time.Time                         `json:"log_time"`
+	Contact     time.Time                         `json:"contact"`
+	Version     uint64                            `json:"version"`
+	Entries     map[string]state.Entry            `json:"entries"`
+	Leases      map[string]state.Lease            `json:"leases"`
+	Members     []members.Member                  `json:"members"`
+	Lent        []slots.Account                   `json:"lent"`
+	Held        []slots.Target                    `json:"held"`
+	Waiting     map[string]int                    `json:"waiting"`
+	Ejected     map[string]time.Time              `json:"targets_aside"`
+	LogBacklog  int                               `json:"log_backlog"`
+	Claims      int                               `json:"claims"`
+	Runs        int                               `json:"runs"`
+	WaitingRuns map[string]map[string]jobs.Reason `json:"runs_waiting"`
+	Plan        pools.Plan                        `json:"plan"`
+	Unreadable  uint64                            `json:"unreadable_records"`
+	Goroutines  int                               `json:"goroutines"`
+	HeapBytes   uint64                            `json:"heap_bytes"`
 }
 
 // Dump returns what the process holds.
@@ -46,25 +46,25 @@
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	return Dump{
-		Setting:    e.Current(),
-		Offset:     s.Offset,
-		LogTime:    s.Now,
-		Contact:    e.Ledger.LastContact(),
-		Version:    s.Catalog.Version,
-		Entries:    s.Entries.Map(),
-		Leases:     s.Leases.Map(),
-		Members:    e.Members.Dump(),
-		Lent:       e.Lender.Dump(),
-		Held:       held,
-		Waiting:    waiting,
-		Aside:      e.Watch.Aside(),
-		Backlog:    e.Ledger.Backlog(),
-		Claims:     s.Claims.Len(),
-		Runs:       s.Runs.Len(),
-		RunsWait:   e.Jobs.Waiting(),
-		Plan:       e.Pools.Last(),
-		Unreadable: s.Unreadable,
-		Goroutines: runtime.NumGoroutine(),
-		HeapBytes:  memory.HeapAlloc,
+		Setting:     e.CurrentSetting(),
+		Offset:      s.Offset,
+		LogTime:     s.Now,
+		Contact:     e.Ledger.LastContact(),
+		Version:     s.Catalog.Version,
+		Entries:     s.Entries.Map(),
+		Leases:      s.Leases.Map(),
+		Members:     e.Members.Dump(),
+		Lent:        e.Lender.Dump(),
+		Held:        held,
+		Waiting:     waiting,
+		Ejected:     e.Outliers.Ejected(),
+		LogBacklog:  e.Ledger.Backlog(),
+		Claims:      s.Claims.Len(),
+		Runs:        s.Runs.Len(),
+		WaitingRuns: e.Jobs.Waiting(),
+		Plan:        e.Pools.LatestPlan(),
+		Unreadable:  s.Unreadable,
+		Goroutines:  runtime.NumGoroutine(),
+		HeapBytes:   memory.HeapAlloc,
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -40,20 +40,20 @@
 
 // Entry is one entry process; New makes it, Start and Run bring it to life.
 type Entry struct {
-	Setting  setting.Settings
-	Clock    clock.Clock
-	Logger   log.Logger
-	Metrics  *metrics.Set
-	Ledger   *ledger.Ledger
-	Members  *members.Table
-	Lender   *slots.Lender
-	Holder   *slots.Holder
-	Links    *slots.Links
-	Watch    *outlier.Watch
-	Dispatch *dispatch.Dispatcher
-	Rollout  *rollout.Service
-	Pools    *pools.Decider
-	Jobs     *jobs.Decider
+	Setting   setting.Settings
+	Clock     clock.Clock
+	Logger    log.Logger
+	Metrics   *metrics.Set
+	Ledger    *ledger.Ledger
+	Members   *members.Table
+	Lender    *slots.Lender
+	Holder    *slots.Holder
+	Exchanger *slots.Exchanger
+	Outliers  *outlier.Detector
+	Dispatch  *dispatch.Dispatcher
+	Rollout   *rollout.Service
+	Pools     *pools.Decider
+	Jobs      *jobs.Decider
 
 	fleet  *fleetwatch.Watcher
 	keeper *leases.Renewer
@@ -72,7 +72,7 @@
 // pokeTo is a poke on its way to an entry.
 type pokeTo struct {
 	entry string
-	poke  slots.Poke
+	poke  slots.Notification
 }
 
 // Ports are the outside systems that an entry uses.
@@ -149,30 +149,30 @@
 		State:       e.Ledger.State,
 		Logger:      e.Logger,
 		Probe:       e.client.Probe,
-		ProbeVia:    e.client.Help,
+		ProbeVia:    e.client.ProbeIndirectly,
 	}
 }
 
 func (e *Entry) buildSlots(incarnation uint64) {
 	name := e.Setting.Entry.Name
-	e.Lender = &slots.Lender{Clock: e.Clock, Name: name, Poke: e.queuePoke}
-	e.Watch = &outlier.Watch{Clock: e.Clock, Peers: e.samePool}
+	e.Lender = &slots.Lender{Clock: e.Clock, Name: name, Notify: e.queuePoke}
+	e.Outliers = &outlier.Detector{Clock: e.Clock, Peers: e.samePool}
 	e.Holder = &slots.Holder{
-		Clock:  e.Clock,
-		Name:   name,
-		Hall:   e.Setting.Entry.Hall,
-		MayUse: e.Watch.MayUse,
+		Clock:      e.Clock,
+		Name:       name,
+		DataCenter: e.Setting.Entry.Hall,
+		MayUse:     e.Outliers.MayUse,
 		Cost: func(worker string, inUse int) float64 {
-			return float64(e.Watch.Latency(worker)+time.Millisecond) * float64(inUse+1)
+			return float64(e.Outliers.Latency(worker)+time.Millisecond) * float64(inUse+1)
 		},
 	}
-	e.Links = &slots.Links{Holder: e.Holder, Incarnation: incarnation, Call: e.exchange, Logger: e.Logger}
-	e.Holder.Kick = e.Links.Kick
+	e.Exchanger = &slots.Exchanger{Holder: e.Holder, Incarnation: incarnation, Call: e.exchange, Logger: e.Logger}
+	e.Holder.RequestExchange = e.Exchanger.RequestExchange
 }
 
 func (e *Entry) buildRequests() {
 	l := e.Setting.Limits
-	desk := &once.Desk{
+	desk := &once.Service{
 		Clock:  e.Clock,
 		Logger: e.Logger,
 		Ledger: once.Proposer{
@@ -187,10 +187,10 @@
 		Logger:    e.Logger,
 		State:     e.Ledger.State,
 		Holder:    e.Holder,
-		Watch:     e.Watch,
-		Desk:      desk,
+		Outliers:  e.Outliers,
+		Once:      desk,
 		Metrics:   e.Metrics,
-		Leaving:   e.leaving,
+		OnLeaving: e.leaving,
 		IdleConns: l.MaxIdleConns(),
 		MaxBody:   l.BodyBytes,
 	}
@@ -199,7 +199,7 @@
 		Name:    e.Setting.Entry.Name,
 		State:   e.Ledger.State,
 		Propose: e.Ledger.ProposeNotify,
-		Reached: e.client.Reached,
+		Reached: e.client.AwaitMark,
 	}
 }
 
@@ -250,14 +250,14 @@
 }
 
 // exchange sends a slots exchange, to this entry's own lender without a hop.
-func (e *Entry) exchange(ctx context.Context, owner string, x slots.Exchange) (slots.Granted, error) {
+func (e *Entry) exchange(ctx context.Context, owner string, x slots.Exchange) (slots.ExchangeResponse, error) {
 	if owner == e.Setting.Entry.Name {
 		return e.Lender.Exchange(x), nil
 	}
 	return e.client.Exchange(ctx, owner, x)
 }
 
-func (e *Entry) queuePoke(entry string, p slots.Poke) {
+func (e *Entry) queuePoke(entry string, p slots.Notification) {
 	select {
 	case e.pokes <- pokeTo{entry, p}:
 	default:
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -28,15 +28,15 @@
 // handlers are what this entry does on the messages of others.
 func (e *Entry) handlers() peerrpc.Handlers {
 	return peerrpc.Handlers{
-		Exchange: e.Lender.Exchange,
-		Poke:     e.Holder.HandlePoke,
-		Probe:    e.Members.Receive,
-		Help:     e.Members.Ping,
-		Leaving:  e.leaving,
-		Relay:    e.relayOut,
-		Append:   e.appendOut,
-		Whole:    e.wholeOut,
-		Reached:  e.reached,
+		Exchange:        e.Lender.Exchange,
+		Notify:          e.Holder.HandleNotification,
+		Probe:           e.Members.Receive,
+		ProbeIndirectly: e.Members.Ping,
+		Leaving:         e.leaving,
+		Relay:           e.relayOut,
+		Append:          e.appendOut,
+		State:           e.wholeOut,
+		AwaitMark:       e.reached,
 	}
 }
 
@@ -47,16 +47,16 @@
 		a, err := e.client.Relay(bounded, p, from)
 		cancel()
 		if err == nil {
-			return a.Records, a.Age, nil
+			return a.Records, a.ContactAge, nil
 		}
 	}
 	return nil, 0, errkind.New(errkind.LogUnavailable, "no peer answers")
 }
 
-func (e *Entry) relayOut(from uint64) peerrpc.RelayAnswer {
-	return peerrpc.RelayAnswer{
-		Records: e.Ledger.Tail(from),
-		Age:     e.Clock.Now().Sub(e.Ledger.LastContact()),
+func (e *Entry) relayOut(from uint64) peerrpc.RelayResponse {
+	return peerrpc.RelayResponse{
+		Records:    e.Ledger.Tail(from),
+		ContactAge: e.Clock.Now().Sub(e.Ledger.LastContact()),
 	}
 }
 
@@ -83,7 +83,7 @@
 
 // whole takes the newest state of the seeds and known entries.
 func (e *Entry) whole(ctx context.Context) (state.State, error) {
-	addresses := append([]string(nil), e.Current().Peers.Seeds...)
+	addresses := append([]string(nil), e.CurrentSetting().Peers.Seeds...)
 	for _, p := range e.alivePeers() {
 		addresses = append(addresses, e.addressOf(p))
 	}
@@ -106,28 +106,28 @@
 func (e *Entry) wholeAt(ctx context.Context, address string) (state.State, error) {
 	bounded, cancel := context.WithTimeout(ctx, wholeTimeout)
 	defer cancel()
-	a, err := e.client.WholeAt(bounded, address)
+	a, err := e.client.StateAt(bounded, address)
 	if err != nil {
 		return state.State{}, errors.Trace(err)
 	}
 	return state.Decode(a.Data)
 }
 
-func (e *Entry) wholeOut() (peerrpc.WholeAnswer, error) {
+func (e *Entry) wholeOut() (peerrpc.StateResponse, error) {
 	data, err := e.Ledger.State().Encode()
-	return peerrpc.WholeAnswer{Data: data}, err
+	return peerrpc.StateResponse{Data: data}, err
 }
 
-func (e *Entry) reached(ctx context.Context, m state.Position) peerrpc.ReachedAnswer {
+func (e *Entry) reached(ctx context.Context, m state.Position) peerrpc.AwaitMarkResponse {
 	bounded, cancel := context.WithTimeout(ctx, reachedLimit)
 	defer cancel()
-	return peerrpc.ReachedAnswer{Reached: e.Ledger.WaitFor(bounded, m) == nil}
+	return peerrpc.AwaitMarkResponse{Reached: e.Ledger.WaitFor(bounded, m) == nil}
 }
 
 // leaving stops new requests to targets here and, if that is news, passes it
 // on, so that every entry knows within a few hops.
 func (e *Entry) leaving(workers []string) {
-	if !e.Holder.Leaving(workers) {
+	if !e.Holder.MarkLeaving(workers) {
 		return
 	}
 	peers := e.alivePeers()
@@ -146,7 +146,7 @@
 func (s spreading) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), spreadLimit)
 	defer cancel()
-	if err := s.e.client.Leaving(ctx, s.entry, s.workers); err != nil {
+	if err := s.e.client.AnnounceLeaving(ctx, s.entry, s.workers); err != nil {
 		s.e.Logger.Debug().Err(err).Str("entry", s.entry).Msg("leaving not passed on")
 	}
 }
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -19,8 +19,8 @@
 	return setting.Changed(known, s)
 }
 
-// Current returns the settings in force.
-func (e *Entry) Current() setting.Settings {
+// CurrentSetting returns the settings in force.
+func (e *Entry) CurrentSetting() setting.Settings {
 	if newer := e.newer.Load(); newer != nil {
 		return *newer
 	}
--- a/entry/run.go
+++ b/entry/run.go
@@ -23,8 +23,8 @@
 	leaveLimit  = 5 * time.Second
 )
 
-// ErrDeposed says that the platform has replaced this process.
-var ErrDeposed = errors.New("this process was replaced or taken off the platform's list")
+// ErrReplaced says that the platform has replaced this process.
+var ErrReplaced = errors.New("this process was replaced or taken off the platform's list")
 
 // loop is one of the entry's activities.
 type loop func(ctx context.Context)
@@ -38,7 +38,7 @@
 		return err
 	}
 	for _, l := range []loop{
-		e.Ledger.Run, e.runUpdates, e.runPokes, e.Links.Run, e.runIdle,
+		e.Ledger.Run, e.runUpdates, e.runPokes, e.Exchanger.Run, e.runIdle,
 	} {
 		go l(ctx)
 	}
@@ -125,12 +125,12 @@
 
 func (e *Entry) poke(ctx context.Context, p pokeTo) {
 	if p.entry == e.Setting.Entry.Name {
-		e.Holder.HandlePoke(p.poke)
+		e.Holder.HandleNotification(p.poke)
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, pokeTimeout)
 	defer cancel()
-	if err := e.client.Poke(bounded, p.entry, p.poke); err != nil {
+	if err := e.client.Notify(bounded, p.entry, p.poke); err != nil {
 		e.Logger.Debug().Err(err).Str("entry", p.entry).Msg("not poked")
 	}
 }
@@ -138,7 +138,7 @@
 // runIdle tells the log which draining targets have become idle.
 func (e *Entry) runIdle(ctx context.Context) {
 	for ctx.Err() == nil {
-		e.Lender.Refresh()
+		e.Lender.NotifyWaiting()
 		for _, i := range e.Lender.Idle() {
 			err := e.Ledger.ProposeOne(ctx, record.Record{Drained: &record.Drained{Worker: i.Worker, Epoch: i.Epoch}})
 			if err != nil && ctx.Err() == nil {
@@ -177,10 +177,10 @@
 	case !ready:
 		return errkind.New(errkind.Stopping, "not serving")
 	case e.Ledger.Removed():
-		return errors.Trace(ErrDeposed)
+		return errors.Trace(ErrReplaced)
 	}
 	age := e.Clock.Now().Sub(e.Ledger.LastContact())
-	if age > e.Current().Limits.StaleAfter.Std() {
+	if age > e.CurrentSetting().Limits.StaleAfter.Std() {
 		return errkind.New(errkind.LogUnavailable, "neither the log nor a peer that is fresh enough was reached for %s", age.Round(time.Second))
 	}
 	return nil
@@ -193,9 +193,9 @@
 	e.ready = false
 }
 
-// Finish ends a planned stop: it waits for the requests in flight, hands every
+// Shutdown ends a planned stop: it waits for the requests in flight, hands every
 // slot back and leaves the roster.
-func (e *Entry) Finish(ctx context.Context) {
+func (e *Entry) Shutdown(ctx context.Context) {
 	e.Dispatch.Stop()
 	bounded, cancel := context.WithTimeout(ctx, leaveLimit)
 	defer cancel()
--- a/node/node.go
+++ b/node/node.go
@@ -83,9 +83,9 @@
 // nothing else yet.
 func New(s setting.Node, ports Ports, c clock.Clock, logger log.Logger) (*Node, error) {
 	n := &Node{Setting: s, Ports: ports, Clock: c, Logger: logger, workers: make(map[worker.ID]worker.Worker), starts: make(map[worker.ID]bool), owners: make(map[string]*owner.Owner), said: make(map[string]port.Record), hurry: make(chan struct{}, 1)}
-	n.client = &noderpc.Client{Logger: logger, Dial: ports.Dial, Found: ports.OnUnresponsive}
-	n.probes = &noderpc.Client{Logger: logger, Dial: ports.Dial, Found: ports.OnUnresponsive}
-	n.server = &noderpc.Server{Logger: logger, Methods: n.methods(), Open: ports.Listen}
+	n.client = &noderpc.Client{Logger: logger, Dial: ports.Dial, OnUnresponsive: ports.OnUnresponsive}
+	n.probes = &noderpc.Client{Logger: logger, Dial: ports.Dial, OnUnresponsive: ports.OnUnresponsive}
+	n.server = &noderpc.Server{Logger: logger, Methods: n.methods(), OpenListener: ports.Listen}
 	if _, err := n.server.Listen(s.PeerAddress()); err != nil {
 		return nil, err
 	}
@@ -96,7 +96,7 @@
 			Cores: s.Node.Cores, DataCenter: s.Node.DataCenter, LinkMbps: s.Node.LinkMbps,
 		},
 	}
-	n.Gateway = &gateway.Gateway{Directory: n.Directory, Clock: c, Logger: logger, Local: n.local, Remote: n.remote, Outdated: n.outdated}
+	n.Gateway = &gateway.Gateway{Directory: n.Directory, Clock: c, Logger: logger, Local: n.local, Remote: n.remote, OnOutdated: n.outdated}
 	n.Ownership = &ownership.Manager{
 		Directory: n.Directory, Clock: c, Logger: logger,
 		Config: n.Gateway.Config, Roles: duties, Open: n.open, ProbeTakeOver: n.offer, RequestTakeOver: n.take,
@@ -332,7 +332,7 @@
 }
 
 func (n *Node) configure(c *config.Config) {
-	if !n.Gateway.Configure(c) {
+	if !n.Gateway.ApplyConfig(c) {
 		return
 	}
 	n.Logger.Info().Str("event", "config").Uint64("version", c.Version).Int("queues", len(c.Queues)).Int("pools", len(c.Pools)).Int("customers", len(c.Customers)).
--- a/node/rpc.go
+++ b/node/rpc.go
@@ -52,8 +52,8 @@
 type empty struct{}
 
 // methods returns what this node answers to others.
-func (n *Node) methods() map[string]noderpc.Method {
-	return map[string]noderpc.Method{
+func (n *Node) methods() map[string]noderpc.HandlerFunc {
+	return map[string]noderpc.HandlerFunc{
 		methodSubmit:  noderpc.Handle(n.onSubmit),
 		methodState:   noderpc.Handle(n.onState),
 		methodCancel:  noderpc.Handle(n.onCancel),
@@ -153,12 +153,12 @@
 }
 
 // local returns the desk of a pool that this node owns, nil for none.
-func (n *Node) local(pool string) *gateway.Desk {
+func (n *Node) local(pool string) *gateway.PoolHandler {
 	o := n.owner(pool)
 	if o == nil {
 		return nil
 	}
-	return &gateway.Desk{
+	return &gateway.PoolHandler{
 		Submit:  o.Submit,
 		State:   o.State,
 		Cancel:  o.Cancel,
@@ -167,11 +167,11 @@
 }
 
 // remote returns the desk of a pool at another node.
-func (n *Node) remote(at directory.Node, pool string) *gateway.Desk {
+func (n *Node) remote(at directory.Node, pool string) *gateway.PoolHandler {
 	call := func(ctx context.Context, method string, params onPool, result any) error {
 		return n.client.Call(ctx, at.Address, method, params, result)
 	}
-	return &gateway.Desk{
+	return &gateway.PoolHandler{
 		Submit: func(ctx context.Context, s job.Submission) error {
 			data, err := codec.Marshal(s)
 			if err != nil {
--- a/routers/apiv1/config.go
+++ b/routers/apiv1/config.go
@@ -37,15 +37,15 @@
 	return t.Entry.Ledger.WaitFor(ctx, state.Position{Offset: offset})
 }
 
-// Objects is the answer of GET /objects.
-type Objects struct {
+// ObjectList is the answer of GET /objects.
+type ObjectList struct {
 	Version uint64            `json:"version"`
 	Objects []manifest.Object `json:"objects"`
 }
 
 func (t *Router) objects(o operator, _ *http.Request) (any, error) {
 	c := t.Entry.Ledger.State().Catalog
-	answer := Objects{Version: c.Version, Objects: []manifest.Object{}}
+	answer := ObjectList{Version: c.Version, Objects: []manifest.Object{}}
 	for _, object := range c.Active() {
 		if o.sees(object.Owner()) {
 			answer.Objects = append(answer.Objects, object)
--- a/routers/apiv1/job.go
+++ b/routers/apiv1/job.go
@@ -10,11 +10,11 @@
 )
 
 func (t *Router) jobs(o operator, _ *http.Request) (any, error) {
-	return t.Desk.List(o.team), nil
+	return t.Jobs.List(o.team), nil
 }
 
 func (t *Router) job(o operator, r *http.Request) (any, error) {
-	return t.Desk.Get(o.team, r.PathValue("id"))
+	return t.Jobs.Get(o.team, r.PathValue("id"))
 }
 
 func (t *Router) submit(o operator, r *http.Request) (any, error) {
@@ -22,18 +22,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return t.Desk.Submit(r.Context(), o.team, q)
+	return t.Jobs.Submit(r.Context(), o.team, q)
 }
 
-// Cancellation is the body of POST /jobs/cancel.
-type Cancellation struct {
+// CancelRequest is the body of POST /jobs/cancel.
+type CancelRequest struct {
 	IDs []string `json:"ids"`
 }
 
 func (t *Router) cancel(o operator, r *http.Request) (any, error) {
-	q, err := readJSON[Cancellation](r)
+	q, err := readJSON[CancelRequest](r)
 	if err != nil {
 		return nil, err
 	}
-	return t.Desk.Cancel(r.Context(), o.team, q.IDs)
+	return t.Jobs.Cancel(r.Context(), o.team, q.IDs)
 }
--- a/routers/apiv1/router.go
+++ b/routers/apiv1/router.go
@@ -32,7 +32,7 @@
 // Router answers operators and teams.
 type Router struct {
 	Entry *entry.Entry
-	Desk  *jobs.Desk
+	Jobs  *jobs.Service
 }
 
 // operator is who asks.
@@ -106,7 +106,7 @@
 		return operator{}, errkind.New(errkind.Unauthorized, "the Authorization header must be: Bearer TOKEN")
 	}
 	var found *setting.Token
-	tokens := t.Entry.Current().Tokens
+	tokens := t.Entry.CurrentSetting().Tokens
 	for i, k := range tokens {
 		if subtle.ConstantTimeCompare([]byte(k.Secret), []byte(secret)) == 1 {
 			found = &tokens[i]
--- a/routers/apiv1/status.go
+++ b/routers/apiv1/status.go
@@ -15,16 +15,16 @@
 
 // Status is the answer of GET /status.
 type Status struct {
-	Entry     string               `json:"entry"`
-	Ready     string               `json:"ready"` // yes, or why not
-	Offset    uint64               `json:"offset"`
-	Version   uint64               `json:"version"`
-	Roster    []string             `json:"roster"`
-	Roles     map[string]string    `json:"roles"` // holder by role
-	Pools     []PoolStatus         `json:"pools"`
-	Aside     map[string]time.Time `json:"targets_aside,omitempty"`
-	Shortages []pools.Shortage     `json:"shortages,omitempty"`
-	Blocked   []pools.Blocked      `json:"maintenance_blocked,omitempty"`
+	Entry     string                  `json:"entry"`
+	Ready     string                  `json:"ready"` // yes, or why not
+	Offset    uint64                  `json:"offset"`
+	Version   uint64                  `json:"version"`
+	Members   []string                `json:"roster"`
+	Roles     map[string]string       `json:"roles"` // holder by role
+	Pools     []PoolStatus            `json:"pools"`
+	Ejected   map[string]time.Time    `json:"targets_aside,omitempty"`
+	Shortages []pools.Shortage        `json:"shortages,omitempty"`
+	Blocked   []pools.BlockedInstance `json:"maintenance_blocked,omitempty"`
 }
 
 // PoolStatus is one pool's row of the status.
@@ -45,10 +45,10 @@
 		Ready:   "yes",
 		Offset:  s.Offset,
 		Version: s.Catalog.Version,
-		Roster:  s.MemberNames(),
+		Members: s.MemberNames(),
 		Roles:   make(map[string]string),
 		Pools:   []PoolStatus{},
-		Aside:   e.Watch.Aside(),
+		Ejected: e.Outliers.Ejected(),
 	}
 	if err := e.Ready(); err != nil {
 		answer.Ready = errkind.Of(err).Message
@@ -66,7 +66,7 @@
 			Serving: h.Serving, Available: p.MinAvailable, Spare: h.Spare(),
 		})
 	}
-	plan := pools.Make(s, e.Setting.Entry.Name, e.Ledger.Incarnation, e.Clock.Now())
+	plan := pools.MakePlan(s, e.Setting.Entry.Name, e.Ledger.Incarnation, e.Clock.Now())
 	answer.Shortages, answer.Blocked = plan.Shortages, plan.Blocked
 	return answer, nil
 }
@@ -75,7 +75,7 @@
 type InstanceStatus struct {
 	Worker       string    `json:"worker"`
 	Address      string    `json:"address"`
-	Hall         string    `json:"hall"`
+	DataCenter   string    `json:"hall"`
 	Rack         string    `json:"rack"`
 	Condition    string    `json:"condition"`
 	Pool         string    `json:"pool"`
@@ -93,7 +93,7 @@
 			continue
 		}
 		rows = append(rows, InstanceStatus{
-			Worker: id, Address: i.Worker.Address, Hall: i.Worker.DataCenter, Rack: i.Worker.Rack,
+			Worker: id, Address: i.Worker.Address, DataCenter: i.Worker.DataCenter, Rack: i.Worker.Rack,
 			Condition: string(i.Worker.Condition), Pool: i.Pool, Phase: string(i.Phase), To: i.MoveTo,
 			Owner: i.Owner, MaintainedAt: i.MaintainedAt,
 		})
--- a/routers/daemon/daemon.go
+++ b/routers/daemon/daemon.go
@@ -26,9 +26,9 @@
 
 // Daemon is one entry process.
 type Daemon struct {
-	Entry   *entry.Entry
-	Callers string // address for callers, once started
-	Admin   string // address for administration, once started
+	Entry         *entry.Entry
+	CallerAddress string // address for callers, once started
+	AdminAddress  string // address for administration, once started
 
 	setting setting.Settings
 	callers *httpserve.Server
@@ -80,11 +80,11 @@
 		ReadTimeout:    l.ReadTimeout.Std(),
 		MaxConnections: l.MaxConnections,
 	}
-	desk := &jobs.Desk{
+	desk := &jobs.Service{
 		Clock: d.Entry.Clock, State: d.Entry.Ledger.State, Waiting: d.Entry.Jobs.Waiting,
 		Propose: d.Entry.Propose,
 	}
-	router := &apiv1.Router{Entry: d.Entry, Desk: desk}
+	router := &apiv1.Router{Entry: d.Entry, Jobs: desk}
 	d.admin = &httpserve.Server{
 		Handler:        router.Handler(),
 		MaxHeaderBytes: l.HeaderBytes,
@@ -92,10 +92,10 @@
 		MaxConnections: l.MaxConnections,
 	}
 	var err error
-	if d.Callers, err = d.callers.Listen(d.setting.Listen.Callers); err != nil {
+	if d.CallerAddress, err = d.callers.Listen(d.setting.Listen.Callers); err != nil {
 		return errors.Annotate(err, "address for callers")
 	}
-	if d.Admin, err = d.admin.Listen(d.setting.Listen.Admin); err != nil {
+	if d.AdminAddress, err = d.admin.Listen(d.setting.Listen.Admin); err != nil {
 		return errors.Annotate(err, "address for administration")
 	}
 	return nil
@@ -109,13 +109,13 @@
 	d.Entry.Withdraw()
 	d.callers.DisableKeepAlives()
 	calm{
-		Clock: d.Entry.Clock, Newest: d.Entry.Dispatch.Newest, Span: d.Entry.Current().Limits.ShutdownDelay.Std(),
+		Clock: d.Entry.Clock, Newest: d.Entry.Dispatch.LastRequest, Span: d.Entry.CurrentSetting().Limits.ShutdownDelay.Std(),
 	}.await()
 	d.Entry.Dispatch.EndStreams()
 	if err := d.callers.Shutdown(ctx); err != nil {
 		d.Entry.Logger.Warn().Err(err).Msg("requests were still in flight")
 	}
-	d.Entry.Finish(ctx)
+	d.Entry.Shutdown(ctx)
 	if err := d.admin.Shutdown(ctx); err != nil {
 		d.Entry.Logger.Warn().Err(err).Msg("administration cut off")
 	}
--- a/services/dispatch/answer.go
+++ b/services/dispatch/answer.go
@@ -27,8 +27,8 @@
 func (c *call) check(a *answer) error {
 	worker := a.slot.Worker()
 	header := a.response.Header
-	if header.Get(HeaderLeaving) != "" && c.d.Leaving != nil {
-		c.d.Leaving([]string{worker})
+	if header.Get(HeaderLeaving) != "" && c.d.OnLeaving != nil {
+		c.d.OnLeaving([]string{worker})
 	}
 	if got := header.Get(HeaderRequestID); got != "" && got != c.id {
 		return errkind.New(errkind.BadResponse, "target %s answered another request", worker)
--- a/services/dispatch/attempt.go
+++ b/services/dispatch/attempt.go
@@ -121,7 +121,7 @@
 		slot.Release()
 		return nil, errkind.New(errkind.DeadlinePassed, "a slot of pool %s came too late", c.service.Pool)
 	}
-	c.d.Watch.Begin(slot.Worker())
+	c.d.Outliers.RecordStart(slot.Worker())
 	err = c.send(a, t)
 	if err == nil {
 		return a, nil
@@ -135,7 +135,7 @@
 // acquire waits for a slot until a time.
 func (c *call) acquire(latest time.Time) (*slots.Slot, error) {
 	for {
-		slot, err := c.d.Holder.Acquire(c.r.Context(), slots.Ask{
+		slot, err := c.d.Holder.Acquire(c.r.Context(), slots.AcquireRequest{
 			Pool:     c.service.Pool,
 			Class:    c.class,
 			Deadline: latest,
@@ -171,7 +171,7 @@
 	header := make(http.Header, len(c.r.Header)+2)
 	copyHeaders(header, c.r.Header)
 	// The library would take this header as leave to send a request twice.
-	delete(header, HeaderKey)
+	delete(header, HeaderIdempotencyKey)
 	if c.key != "" {
 		header.Set(HeaderTargetKey, c.key)
 	}
@@ -213,15 +213,15 @@
 func (c *call) judge(a *answer, err error) {
 	worker := a.slot.Worker()
 	if err != nil {
-		c.d.Watch.Bad(worker)
+		c.d.Outliers.RecordFailure(worker)
 		return
 	}
 	if a.response.StatusCode >= http.StatusInternalServerError {
-		c.d.Watch.Bad(worker)
+		c.d.Outliers.RecordFailure(worker)
 		return
 	}
 	took := c.d.Clock.Now().Sub(a.sent)
-	c.d.Watch.Good(worker, took)
+	c.d.Outliers.RecordSuccess(worker, took)
 	c.d.usual.add(c.service.Pool, took)
 }
 
--- a/services/dispatch/dispatcher.go
+++ b/services/dispatch/dispatcher.go
@@ -27,28 +27,28 @@
 
 // Headers of requests and answers.
 const (
-	HeaderRequestID = "X-Request-Id"
-	HeaderKey       = "Idempotency-Key"    // from the caller
-	HeaderTargetKey = "Yardbridge-Key"     // to the target
-	HeaderTimeout   = "Yardbridge-Timeout" // from the caller, such as 500ms
-	HeaderClass     = "Yardbridge-Class"   // from the caller, interactive or batch
-	HeaderDeadline  = "Yardbridge-Deadline"
-	HeaderConfig    = "Yardbridge-Config"  // version of the configuration that served
-	HeaderLeaving   = "Yardbridge-Leaving" // from a target that wants no more work
-	HeaderEnded     = "Yardbridge-Ended"   // trailer of a stream that was ended early
+	HeaderRequestID      = "X-Request-Id"
+	HeaderIdempotencyKey = "Idempotency-Key"    // from the caller
+	HeaderTargetKey      = "Yardbridge-Key"     // to the target
+	HeaderTimeout        = "Yardbridge-Timeout" // from the caller, such as 500ms
+	HeaderClass          = "Yardbridge-Class"   // from the caller, interactive or batch
+	HeaderDeadline       = "Yardbridge-Deadline"
+	HeaderConfig         = "Yardbridge-Config"  // version of the configuration that served
+	HeaderLeaving        = "Yardbridge-Leaving" // from a target that wants no more work
+	HeaderEnded          = "Yardbridge-Ended"   // trailer of a stream that was ended early
 )
 
 // Dispatcher carries requests; its exported fields are set before first use.
 type Dispatcher struct {
-	Clock   clock.Clock
-	Logger  log.Logger
-	State   func() state.State
-	Holder  *slots.Holder
-	Watch   *outlier.Watch
-	Desk    *once.Desk
-	Metrics *metrics.Set
-	// Leaving is told of targets that say themselves that they leave.
-	Leaving func(workers []string)
+	Clock    clock.Clock
+	Logger   log.Logger
+	State    func() state.State
+	Holder   *slots.Holder
+	Outliers *outlier.Detector
+	Once     *once.Service
+	Metrics  *metrics.Set
+	// OnLeaving is told of targets that say themselves that they leave.
+	OnLeaving func(workers []string)
 	// IdleConns is how many idle connections are kept to a target.
 	IdleConns int
 	// MaxBody is the largest body of a request in bytes.
@@ -147,8 +147,8 @@
 	errkind.Write(c.w, c.id, e)
 }
 
-// Newest returns when the newest request came, 1970 for never.
-func (d *Dispatcher) Newest() time.Time { return time.Unix(0, d.newest.Load()) }
+// LastRequest returns when the newest request came, 1970 for never.
+func (d *Dispatcher) LastRequest() time.Time { return time.Unix(0, d.newest.Load()) }
 
 // EndStreams ends the streams under way cleanly.
 func (d *Dispatcher) EndStreams() {
--- a/services/dispatch/faults_test.go
+++ b/services/dispatch/faults_test.go
@@ -116,22 +116,22 @@
 
 func (b *bench) build(t *testing.T) {
 	t.Helper()
-	lender := &slots.Lender{Name: entryName, Poke: func(string, slots.Poke) {}}
+	lender := &slots.Lender{Name: entryName, Notify: func(string, slots.Notification) {}}
 	holder := &slots.Holder{Name: entryName, Cost: func(worker string, _ int) float64 { return float64(worker[1]) }}
-	links := &slots.Links{Holder: holder, Incarnation: 1, Call: func(_ context.Context, _ string, x slots.Exchange) (slots.Granted, error) {
+	links := &slots.Exchanger{Holder: holder, Incarnation: 1, Call: func(_ context.Context, _ string, x slots.Exchange) (slots.ExchangeResponse, error) {
 		if b.beforeLending != nil {
 			b.beforeLending(x)
 		}
 		return lender.Exchange(x), nil
 	}}
-	holder.Kick = links.Kick
+	holder.RequestExchange = links.RequestExchange
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go links.Run(ctx)
 	lender.Update(b.State())
 	holder.Update(b.State())
-	desk := &once.Desk{Ledger: once.Proposer{Propose: b.propose, State: b.State}}
-	b.d = &Dispatcher{State: b.State, Holder: holder, Watch: &outlier.Watch{}, Desk: desk, Metrics: metrics.New(), MaxBody: 4000}
+	desk := &once.Service{Ledger: once.Proposer{Propose: b.propose, State: b.State}}
+	b.d = &Dispatcher{State: b.State, Holder: holder, Outliers: &outlier.Detector{}, Once: desk, Metrics: metrics.New(), MaxBody: 4000}
 }
 
 // State returns the folded state.
@@ -185,7 +185,7 @@
 	r, err := http.NewRequest(c.Method, b.server.URL+"/"+service+"/x", bytes.NewReader(make([]byte, c.BodyBytes)))
 	assert.NilError(t, err)
 	if key != "" {
-		r.Header.Set(HeaderKey, key)
+		r.Header.Set(HeaderIdempotencyKey, key)
 	}
 	if c.Timeout != "" {
 		r.Header.Set(HeaderTimeout, c.Timeout)
@@ -281,7 +281,7 @@
 		b.setFaults(t, 0, c.First)
 		b.beforeLending = func(slots.Exchange) {
 			if b.targets[0].Stats().Requests > 0 {
-				b.d.Holder.Leaving([]string{"w0", "w1"})
+				b.d.Holder.MarkLeaving([]string{"w0", "w1"})
 			}
 		}
 		c.Method, c.Timeout = http.MethodGet, "300ms"
--- a/services/dispatch/keyed.go
+++ b/services/dispatch/keyed.go
@@ -19,7 +19,7 @@
 	// The claim may take as long as the request, and no longer.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(c.r.Context()), c.deadline)
 	defer cancel()
-	claimed, reply, err := c.d.Desk.Claim(ctx, c.key, once.Sum(c.r.Method, c.path, c.body))
+	claimed, reply, err := c.d.Once.Claim(ctx, c.key, once.Fingerprint(c.r.Method, c.path, c.body))
 	if err != nil {
 		if reply != nil && !reply.Omitted {
 			c.replay(reply)
@@ -54,7 +54,7 @@
 
 func (f finisher) run() {
 	defer f.d.active.End()
-	f.d.Desk.Finish(f.result)
+	f.d.Once.Finish(f.result)
 }
 
 // replyOf returns what is kept of an answer for repeats.
--- a/services/dispatch/parse.go
+++ b/services/dispatch/parse.go
@@ -33,7 +33,7 @@
 	if err := c.parseTimes(); err != nil {
 		return err
 	}
-	c.key = c.r.Header.Get(HeaderKey)
+	c.key = c.r.Header.Get(HeaderIdempotencyKey)
 	if c.r.ContentLength > c.d.MaxBody {
 		return errkind.New(errkind.TooLarge, "the body has %d bytes, allowed are %d", c.r.ContentLength, c.d.MaxBody)
 	}
--- a/services/gateway/admit.go
+++ b/services/gateway/admit.go
@@ -8,10 +8,10 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// Admit returns the customer on whose behalf a call to a queue comes, "" for none, from the
+// Authenticate returns the customer on whose behalf a call to a queue comes, "" for none, from the
 // secret that it bears, if it bears one. A queue that does not take anyone takes calls with
 // a key of the configuration only; the others are errors of the kind Unauthorized.
-func (g *Gateway) Admit(c *config.Config, q *config.Queue, secret string, bears bool) (string, error) {
+func (g *Gateway) Authenticate(c *config.Config, q *config.Queue, secret string, bears bool) (string, error) {
 	var holder *config.Customer
 	if bears {
 		holder = c.CustomerByKey(secret)
--- a/services/gateway/gateway.go
+++ b/services/gateway/gateway.go
@@ -16,10 +16,10 @@
 	"github.com/yardbridge/yardbridge/services/directory"
 )
 
-// Desk takes calls about the jobs of one pool, on this node or on another. Each comes
+// PoolHandler takes calls about the jobs of one pool, on this node or on another. Each comes
 // on behalf of a customer, "" for none; a job of another one is an error of the kind
 // Forbidden.
-type Desk struct {
+type PoolHandler struct {
 	Submit  func(ctx context.Context, s job.Submission) error
 	State   func(ctx context.Context, id job.ID, by string) (job.State, error)
 	Cancel  func(ctx context.Context, id job.ID, by string) error
@@ -32,12 +32,12 @@
 	Clock     clock.Clock
 	Logger    log.Logger
 	// Local returns the desk of a pool that this node owns, nil for none.
-	Local func(pool string) *Desk
-	// Outdated is told of a node that does not own a pool any more though the directory says
+	Local func(pool string) *PoolHandler
+	// OnOutdated is told of a node that does not own a pool any more though the directory says
 	// so; nil tells nobody.
-	Outdated func(n directory.Node)
+	OnOutdated func(n directory.Node)
 	// Remote returns the desk of a pool at another node.
-	Remote func(n directory.Node, pool string) *Desk
+	Remote func(n directory.Node, pool string) *PoolHandler
 
 	newest atomic.Pointer[config.Config]
 	moves  moves
@@ -46,9 +46,9 @@
 // Config returns the newest configuration, nil before the first.
 func (g *Gateway) Config() *config.Config { return g.newest.Load() }
 
-// Configure takes over a configuration unless a newer one is known, and returns
+// ApplyConfig takes over a configuration unless a newer one is known, and returns
 // whether it did.
-func (g *Gateway) Configure(c *config.Config) bool {
+func (g *Gateway) ApplyConfig(c *config.Config) bool {
 	for {
 		known := g.newest.Load()
 		if known != nil && known.Version >= c.Version {
@@ -84,7 +84,7 @@
 	if taken, err := g.takenBefore(ctx, q, s.ID, s.Customer); taken || err != nil {
 		return err
 	}
-	_, err := call(ctx, g, q.Pool, func(ctx context.Context, d *Desk) (nothing, error) {
+	_, err := call(ctx, g, q.Pool, func(ctx context.Context, d *PoolHandler) (nothing, error) {
 		return nothing{}, d.Submit(ctx, s)
 	})
 	return err
@@ -92,7 +92,7 @@
 
 // Cancel ends a job on behalf of a customer and returns once that is kept.
 func (g *Gateway) Cancel(ctx context.Context, q *config.Queue, id job.ID, by string) error {
-	_, err := find(ctx, g, q, func(ctx context.Context, d *Desk) (nothing, error) {
+	_, err := find(ctx, g, q, func(ctx context.Context, d *PoolHandler) (nothing, error) {
 		return nothing{}, d.Cancel(ctx, id, by)
 	})
 	return err
@@ -100,17 +100,17 @@
 
 // State returns what a caller is told of a job on behalf of a customer.
 func (g *Gateway) State(ctx context.Context, q *config.Queue, id job.ID, by string) (job.State, error) {
-	return find(ctx, g, q, func(ctx context.Context, d *Desk) (job.State, error) { return d.State(ctx, id, by) })
+	return find(ctx, g, q, func(ctx context.Context, d *PoolHandler) (job.State, error) { return d.State(ctx, id, by) })
 }
 
 // Pending returns how many of a queue's jobs have not begun.
 func (g *Gateway) Pending(ctx context.Context, q *config.Queue) (int, error) {
-	return call(ctx, g, q.Pool, func(ctx context.Context, d *Desk) (int, error) { return d.Pending(ctx, q.Key()) })
+	return call(ctx, g, q.Pool, func(ctx context.Context, d *PoolHandler) (int, error) { return d.Pending(ctx, q.Key()) })
 }
 
 // find calls the owner of a queue's pool and, where that knows no such job, the
 // owners of the others: a queue may have led to another pool when the job came.
-func find[T any](ctx context.Context, g *Gateway, q *config.Queue, do func(context.Context, *Desk) (T, error)) (T, error) {
+func find[T any](ctx context.Context, g *Gateway, q *config.Queue, do func(context.Context, *PoolHandler) (T, error)) (T, error) {
 	answer, err := call(ctx, g, q.Pool, do)
 	if !errkind.Is(err, errkind.Gone) {
 		return answer, err
@@ -129,7 +129,7 @@
 
 // call makes a call to the owner of a pool, again while there is none or it is
 // not reached, which does no harm: every call may be made twice.
-func call[T any](ctx context.Context, g *Gateway, pool string, do func(context.Context, *Desk) (T, error)) (T, error) {
+func call[T any](ctx context.Context, g *Gateway, pool string, do func(context.Context, *PoolHandler) (T, error)) (T, error) {
 	began := g.Clock.Now()
 	unknown := false
 	for {
@@ -178,7 +178,7 @@
 // try makes a call to the owner that is known now; it returns a channel that is
 // closed when another may be. A call is given up on once another node owns the
 // pool.
-func try[T any](ctx context.Context, g *Gateway, pool string, do func(context.Context, *Desk) (T, error)) (T, <-chan struct{}, error) {
+func try[T any](ctx context.Context, g *Gateway, pool string, do func(context.Context, *PoolHandler) (T, error)) (T, <-chan struct{}, error) {
 	var none T
 	v, changed := g.Directory.View()
 	if desk := g.Local(pool); desk != nil {
@@ -201,8 +201,8 @@
 	for {
 		select {
 		case o := <-a.result:
-			if errkind.Is(o.err, errkind.Fenced) && g.Outdated != nil {
-				g.Outdated(node)
+			if errkind.Is(o.err, errkind.Fenced) && g.OnOutdated != nil {
+				g.OnOutdated(node)
 			}
 			return o.answer, changed, o.err
 		case <-given:
@@ -226,8 +226,8 @@
 
 // attempt is one call to another node.
 type attempt[T any] struct {
-	do     func(context.Context, *Desk) (T, error)
-	desk   *Desk
+	do     func(context.Context, *PoolHandler) (T, error)
+	desk   *PoolHandler
 	result chan outcome[T]
 }
 
--- a/services/gateway/gateway_test.go
+++ b/services/gateway/gateway_test.go
@@ -25,8 +25,8 @@
 	for _, refusal := range []errkind.Kind{errkind.LogUnavailable, errkind.Overloaded, errkind.Stopping} {
 		tries := 0
 		g := &Gateway{Directory: &directory.Directory{}}
-		g.Local = func(string) *Desk {
-			return &Desk{Submit: func(context.Context, job.Submission) error {
+		g.Local = func(string) *PoolHandler {
+			return &PoolHandler{Submit: func(context.Context, job.Submission) error {
 				tries++
 				if tries == 1 {
 					return errkind.New(errkind.OutcomeUnknown, "the connection broke off")
@@ -46,8 +46,8 @@
 func TestAJobThatComesAgainIsOneThoughItsQueueHasMoved(t *testing.T) {
 	taken := map[string]bool{}
 	g := &Gateway{Directory: &directory.Directory{}}
-	g.Local = func(pool string) *Desk {
-		return &Desk{
+	g.Local = func(pool string) *PoolHandler {
+		return &PoolHandler{
 			Submit: func(context.Context, job.Submission) error {
 				taken[pool] = true
 				return nil
@@ -63,7 +63,7 @@
 	pools := []config.Pool{{Name: "a"}, {Name: "b"}}
 	for version, pool := range []string{"a", "b"} {
 		queue := config.Queue{Name: "q", Host: "h", PathPrefix: "/q/", Pool: pool}
-		g.Configure(config.New(uint64(version+1), []config.Queue{queue}, pools, config.Limits{}))
+		g.ApplyConfig(config.New(uint64(version+1), []config.Queue{queue}, pools, config.Limits{}))
 		assert.NilError(t, g.Submit(t.Context(), &queue, job.Submission{ID: "1"}))
 	}
 	assert.Assert(t, !taken["b"], "one job is taken by two pools")
@@ -76,9 +76,9 @@
 	d := ownedElsewhere(t, "p")
 	asked, never := make(chan struct{}), make(chan struct{})
 	defer close(never)
-	g := &Gateway{Directory: d, Local: func(string) *Desk { return nil }}
-	g.Remote = func(directory.Node, string) *Desk {
-		return &Desk{Submit: func(context.Context, job.Submission) error {
+	g := &Gateway{Directory: d, Local: func(string) *PoolHandler { return nil }}
+	g.Remote = func(directory.Node, string) *PoolHandler {
+		return &PoolHandler{Submit: func(context.Context, job.Submission) error {
 			close(asked)
 			<-never
 			return nil
--- a/services/gateway/moved.go
+++ b/services/gateway/moved.go
@@ -82,7 +82,7 @@
 // taken a job. Where one can't say, the outcome is unknown: the job may be there.
 func (g *Gateway) takenBefore(ctx context.Context, q *config.Queue, id job.ID, by string) (bool, error) {
 	for _, pool := range g.moves.earlier(q, g.Clock.Now()) {
-		state, err := call(ctx, g, pool, func(ctx context.Context, d *Desk) (job.State, error) { return d.State(ctx, id, by) })
+		state, err := call(ctx, g, pool, func(ctx context.Context, d *PoolHandler) (job.State, error) { return d.State(ctx, id, by) })
 		switch {
 		case err == nil:
 			g.Logger.Info().Str("event", "submit").Str("job", string(id)).Str("queue", q.Key()).Str("pool", pool).Str("now", q.Pool).
--- a/services/jobs/decider.go
+++ b/services/jobs/decider.go
@@ -56,7 +56,7 @@
 func (d *Decider) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		s, changed := d.Changed()
-		d.Once(ctx, s)
+		d.RunOnce(ctx, s)
 		select {
 		case <-changed:
 		case <-d.Clock.After(period):
@@ -65,8 +65,8 @@
 	}
 }
 
-// Once takes one step for a state.
-func (d *Decider) Once(ctx context.Context, s state.State) {
+// RunOnce takes one step for a state.
+func (d *Decider) RunOnce(ctx context.Context, s state.State) {
 	d.startPlaced(ctx, s)
 	now := d.Clock.Now()
 	if now.Sub(d.renewed) >= renewPeriod {
@@ -138,7 +138,7 @@
 	r := t.job
 	err := t.d.Tasks.Start(bounded, platform.Task{
 		ID: taskID(t.id, r.Attempt), Worker: r.Worker, Command: r.Job.Command,
-		Cores: r.Cores, MemoryGB: r.MemoryGB, Life: leaseLife,
+		Cores: r.Cores, MemoryGB: r.MemoryGB, LeaseTTL: leaseLife,
 	})
 	if err == nil {
 		return // the workers' reports tell the rest
--- a/services/jobs/decider_test.go
+++ b/services/jobs/decider_test.go
@@ -106,7 +106,7 @@
 // step lets a decider act on a state, and waits for the starts that it began.
 func (y *yard) step(name string, s state.State) {
 	d := y.deciders[name]
-	d.Once(context.Background(), s)
+	d.RunOnce(context.Background(), s)
 	d.AwaitStarts()
 }
 
@@ -229,7 +229,7 @@
 	small := y.submit("a", manifest.Job{Cores: 1, MemoryGB: 1, Command: "sleep 1s"})
 	y.pass(6*time.Second, "a")
 	assert.Equal(t, y.run(small).State, record.Done)
-	assert.Equal(t, y.deciders["a"].Waiting()["p"][huge], NeverFits)
+	assert.Equal(t, y.deciders["a"].Waiting()["p"][huge], TooLarge)
 }
 
 func TestUrgentWorkStartsOnAFullWorker(t *testing.T) {
@@ -253,7 +253,7 @@
 		ids = append(ids, y.submit("a", manifest.Job{Cores: 1, MemoryGB: 1, Command: "forever"}))
 	}
 	y.pass(3*time.Second, "a")
-	desk := &Desk{Clock: y.clock.Clock(), State: y.State, Waiting: y.deciders["a"].Waiting, Propose: y.deciders["a"].Propose}
+	desk := &Service{Clock: y.clock.Clock(), State: y.State, Waiting: y.deciders["a"].Waiting, Propose: y.deciders["a"].Propose}
 	_, err := desk.Cancel(context.Background(), "other", ids[:1])
 	assert.ErrorContains(t, err, "nothing was cancelled")
 	before := y.State().Offset
@@ -315,7 +315,7 @@
 	d.Tasks.Reports = func(ctx context.Context, known uint64) (platform.Reports, error) {
 		r, err := y.platform.Tasks().Reports(ctx, known)
 		rows += len(r.Tasks)
-		if r.Whole {
+		if r.Complete {
 			r.Tasks = nil // the worker has forgotten it
 		}
 		return r, err
--- a/services/jobs/desk.go
+++ b/services/jobs/desk.go
@@ -15,8 +15,8 @@
 	"github.com/yardbridge/yardbridge/modules/oncekey"
 )
 
-// Desk takes the wishes of teams.
-type Desk struct {
+// Service takes the wishes of teams.
+type Service struct {
 	Clock   clock.Clock
 	State   func() state.State
 	Propose func(ctx context.Context, records []record.Record) ([]state.Verdict, error)
@@ -43,7 +43,7 @@
 	Submitted time.Time       `json:"submitted"`
 }
 
-func (d *Desk) status(id string, r state.Run) Status {
+func (d *Service) status(id string, r state.Run) Status {
 	s := Status{
 		ID: id, Job: r.Job.Name, Team: r.Job.Team, State: r.State, Attempt: r.Attempt,
 		Worker: r.Worker, Reason: r.Reason, Submitted: r.SubmittedAt,
@@ -58,7 +58,7 @@
 }
 
 // List returns the runs of a team, or all for an empty team.
-func (d *Desk) List(team string) []Status {
+func (d *Service) List(team string) []Status {
 	list := []Status{}
 	for id, r := range d.State().Runs.All() {
 		if team == "" || r.Job.Team == team {
@@ -69,7 +69,7 @@
 }
 
 // Get returns one run.
-func (d *Desk) Get(team, id string) (Status, error) {
+func (d *Service) Get(team, id string) (Status, error) {
 	r, ok := d.State().Runs.Get(id)
 	if !ok || team != "" && r.Job.Team != team {
 		return Status{}, errkind.New(errkind.NotFound, "job run %.80q is not known", id)
@@ -79,7 +79,7 @@
 
 // Submit puts a run on the log. Submitting again with the same key is answered
 // with the run that is there.
-func (d *Desk) Submit(ctx context.Context, team string, q Submission) (Status, error) {
+func (d *Service) Submit(ctx context.Context, team string, q Submission) (Status, error) {
 	s := d.State()
 	if err := oncekey.Check(q.Key, s.Now); err != nil {
 		return Status{}, err
@@ -103,8 +103,8 @@
 	return d.Get(team, q.Key)
 }
 
-// Cancelled tells what became of a cancellation.
-type Cancelled struct {
+// CancelResult tells what became of a cancellation.
+type CancelResult struct {
 	IDs []string `json:"ids"`
 }
 
@@ -112,12 +112,12 @@
 const cancelChunk = 500
 
 // Cancel ends runs; those of other teams are refused as a whole.
-func (d *Desk) Cancel(ctx context.Context, team string, ids []string) (Cancelled, error) {
+func (d *Service) Cancel(ctx context.Context, team string, ids []string) (CancelResult, error) {
 	s := d.State()
 	for _, id := range ids {
 		r, ok := s.Runs.Get(id)
 		if !ok || team != "" && r.Job.Team != team {
-			return Cancelled{}, errkind.New(errkind.NotFound, "job run %.80q is not known; nothing was cancelled", id)
+			return CancelResult{}, errkind.New(errkind.NotFound, "job run %.80q is not known; nothing was cancelled", id)
 		}
 	}
 	var records []record.Record
@@ -126,8 +126,8 @@
 		records = append(records, record.Record{Cancel: &record.Cancel{IDs: chunk}})
 	}
 	if len(records) == 0 {
-		return Cancelled{IDs: []string{}}, nil
+		return CancelResult{IDs: []string{}}, nil
 	}
 	_, err := d.Propose(ctx, records)
-	return Cancelled{IDs: ids}, err
+	return CancelResult{IDs: ids}, err
 }
--- a/services/jobs/place.go
+++ b/services/jobs/place.go
@@ -18,13 +18,13 @@
 
 // The reasons for which a run waits.
 const (
-	NoRoom      Reason = "no worker has room now"
-	OverQuota   Reason = "the team's quota is used up"
-	OverLimit   Reason = "the customer's limit is used up"
-	NeverFits   Reason = "no worker of the pool is large enough"
-	NoSuchPool  Reason = "the pool has no instance in service"
-	NoSuchTeam  Reason = "the team is not declared"
-	MakingSpace Reason = "less urgent work is being moved away"
+	NoFreeCapacity   Reason = "no worker has room now"
+	OverQuota        Reason = "the team's quota is used up"
+	OverLimit        Reason = "the customer's limit is used up"
+	TooLarge         Reason = "no worker of the pool is large enough"
+	PoolNotInService Reason = "the pool has no instance in service"
+	UnknownTeam      Reason = "the team is not declared"
+	Preempting       Reason = "less urgent work is being moved away"
 )
 
 // Plan is what should happen next to the runs.
@@ -174,7 +174,7 @@
 	}
 	room := need{p.coresOf(job), job.MemoryGB, job.Accelerators}
 	if job.Class != manifest.Urgent && slices.ContainsFunc(p.full[job.Pool], func(n need) bool { return n.covers(room) }) {
-		p.wait(w, NoRoom)
+		p.wait(w, NoFreeCapacity)
 		return
 	}
 	if p.placeOn(p.tightest(workers, room), w, room) {
@@ -182,10 +182,10 @@
 	}
 	p.full[job.Pool] = append(p.full[job.Pool], room)
 	if job.Class == manifest.Urgent && p.preempt(workers, room) {
-		p.wait(w, MakingSpace)
+		p.wait(w, Preempting)
 		return
 	}
-	p.wait(w, NoRoom)
+	p.wait(w, NoFreeCapacity)
 }
 
 // placeOn proposes the first of the workers that the fold would accept, and
@@ -210,11 +210,11 @@
 	team := p.s.Catalog.Team(job.Team)
 	switch {
 	case team == nil:
-		return NoSuchTeam, false
+		return UnknownTeam, false
 	case len(workers) == 0:
-		return NoSuchPool, false
+		return PoolNotInService, false
 	case !p.everFits(job, workers):
-		return NeverFits, false
+		return TooLarge, false
 	case !p.s.TeamUsage(job.Team).WithinQuota(team, p.coresOf(job), job.MemoryGB, job.Accelerators):
 		return OverQuota, false
 	case !p.s.CustomerUsage(job.Customer).WithinLimit(p.s.Catalog.Customer(job.Customer), p.coresOf(job), job.MemoryGB, job.Accelerators):
--- a/services/jobs/placer.go
+++ b/services/jobs/placer.go
@@ -93,7 +93,7 @@
 		case OverLimit:
 			r, _ := s.Runs.Get(id)
 			seen.customers[r.Job.Customer] = true
-		case MakingSpace:
+		case Preempting:
 			seen.lookAgain(s.Now.Add(preemptPatience))
 		}
 	}
--- a/services/jobs/reports.go
+++ b/services/jobs/reports.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	if news.Whole {
+	if news.Complete {
 		r.tasks = make(map[string]platform.TaskStatus, len(news.Tasks))
 		r.wholeAt = now
 	}
--- a/services/measure/measure_test.go
+++ b/services/measure/measure_test.go
@@ -27,9 +27,9 @@
 		return &port.Link{Start: func(context.Context, port.Start) port.Response { return port.Response{Result: port.NoCapacity} }}
 	}})
 	links.Open(worker.Worker{}).Start(t.Context(), port.Start{})
-	assert.Equal(t, m.Counted("store.put."+errkind.LogUnavailable.String()), int64(1))
-	assert.Equal(t, m.Counted("worker.start.no-room"), int64(1))
-	m.Time("call.submit", 1500*time.Microsecond, "ok")
+	assert.Equal(t, m.CounterValue("store.put."+errkind.LogUnavailable.String()), int64(1))
+	assert.Equal(t, m.CounterValue("worker.start.no-room"), int64(1))
+	m.Observe("call.submit", 1500*time.Microsecond, "ok")
 	var text strings.Builder
 	m.Write(&text)
 	for _, part := range []string{"call.submit.us", "call.submit.ok", "store.put.us", "1500"} {
@@ -39,6 +39,6 @@
 
 func TestNilMeterCountsNothing(_ *testing.T) {
 	var m *Meter
-	m.Time("call.submit", time.Second, "ok")
+	m.Observe("call.submit", time.Second, "ok")
 	m.Gauge("pools", func() int64 { return 1 })
 }
--- a/services/measure/meter.go
+++ b/services/measure/meter.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// Time adds the span of one call to its histogram, which is in microseconds, and
+// Observe adds the span of one call to its histogram, which is in microseconds, and
 // counts it under its outcome.
-func (m *Meter) Time(call string, took time.Duration, outcome string) {
+func (m *Meter) Observe(call string, took time.Duration, outcome string) {
 	if m == nil {
 		return
 	}
@@ -50,9 +50,9 @@
 	m.Count(call + "." + outcome)
 }
 
-// Call is Time for a call that ended with an error or nil.
-func (m *Meter) Call(call string, took time.Duration, err error) {
-	m.Time(call, took, outcome(err))
+// ObserveCall is Time for a call that ended with an error or nil.
+func (m *Meter) ObserveCall(call string, took time.Duration, err error) {
+	m.Observe(call, took, outcome(err))
 }
 
 // Channels returns what counts channels to a destination that were found silent, with
@@ -60,7 +60,7 @@
 func (m *Meter) Channels(to string) (found func(n int, after time.Duration), repeated func(allowed bool)) {
 	found = func(n int, after time.Duration) {
 		for range n {
-			m.Time("channel."+to, after, "silent")
+			m.Observe("channel."+to, after, "silent")
 		}
 	}
 	repeated = func(allowed bool) {
@@ -81,8 +81,8 @@
 	m.registry.GetOrRegister(name, gometrics.NewFunctionalGauge(read))
 }
 
-// Counted returns the value of a counter.
-func (m *Meter) Counted(name string) int64 {
+// CounterValue returns the value of a counter.
+func (m *Meter) CounterValue(name string) int64 {
 	counter, is := m.registry.Get(name).(gometrics.Counter)
 	if !is {
 		return 0
--- a/services/measure/ports.go
+++ b/services/measure/ports.go
@@ -18,25 +18,25 @@
 	counted.Append = func(ctx context.Context, p port.Partition, w port.Writer, records []port.Record) error {
 		began := time.Now()
 		err := s.Append(ctx, p, w, records)
-		m.Call("store.append", time.Since(began), err)
+		m.ObserveCall("store.append", time.Since(began), err)
 		return err
 	}
 	counted.Put = func(ctx context.Context, p port.Partition, records []port.Record) error {
 		began := time.Now()
 		err := s.Put(ctx, p, records)
-		m.Call("store.put", time.Since(began), err)
+		m.ObserveCall("store.put", time.Since(began), err)
 		return err
 	}
 	counted.AppendAt = func(ctx context.Context, p port.Partition, at uint64, records []port.Record) (uint64, error) {
 		began := time.Now()
 		end, err := s.AppendAt(ctx, p, at, records)
-		m.Call("store.append_at", time.Since(began), err)
+		m.ObserveCall("store.append_at", time.Since(began), err)
 		return end, err
 	}
 	counted.Newest = func(ctx context.Context, p port.Partition, after string) (port.Page, error) {
 		began := time.Now()
 		page, err := s.Newest(ctx, p, after)
-		m.Call("store.newest", time.Since(began), err)
+		m.ObserveCall("store.newest", time.Since(began), err)
 		return page, err
 	}
 	counted.Read = func(ctx context.Context, p port.Partition, from uint64, wait time.Duration) (port.Tail, error) {
@@ -58,19 +58,19 @@
 	counted.Start = func(ctx context.Context, s port.Start) port.Response {
 		began := time.Now()
 		a := l.Start(ctx, s)
-		m.Time("worker.start", time.Since(began), string(a.Result))
+		m.Observe("worker.start", time.Since(began), string(a.Result))
 		return a
 	}
 	counted.Stop = func(ctx context.Context, s port.Stop) port.Response {
 		began := time.Now()
 		a := l.Stop(ctx, s)
-		m.Time("worker.stop", time.Since(began), string(a.Result))
+		m.Observe("worker.stop", time.Since(began), string(a.Result))
 		return a
 	}
 	counted.SetCPUShare = func(ctx context.Context, p port.CPUShare) port.Response {
 		began := time.Now()
 		a := l.SetCPUShare(ctx, p)
-		m.Time("worker.pace", time.Since(began), string(a.Result))
+		m.Observe("worker.pace", time.Since(began), string(a.Result))
 		return a
 	}
 	counted.Poll = func(ctx context.Context, k port.Poll) (worker.PollResult, port.Response) {
@@ -87,19 +87,19 @@
 	counted.List = func(ctx context.Context) ([]port.Instance, error) {
 		began := time.Now()
 		list, err := i.List(ctx)
-		m.Call("instances.list", time.Since(began), err)
+		m.ObserveCall("instances.list", time.Since(began), err)
 		return list, err
 	}
 	counted.Move = func(ctx context.Context, p port.Issuer, instance, pool string) error {
 		began := time.Now()
 		err := i.Move(ctx, p, instance, pool)
-		m.Call("instances.move", time.Since(began), err)
+		m.ObserveCall("instances.move", time.Since(began), err)
 		return err
 	}
 	counted.Maintain = func(ctx context.Context, p port.Issuer, instance string, wave int) error {
 		began := time.Now()
 		err := i.Maintain(ctx, p, instance, wave)
-		m.Call("instances.maintain", time.Since(began), err)
+		m.ObserveCall("instances.maintain", time.Since(began), err)
 		return err
 	}
 	return counted
@@ -110,7 +110,7 @@
 	return port.Advisor{Advise: func(ctx context.Context, step string, workers []worker.ID) ([]port.Ticket, error) {
 		began := time.Now()
 		tickets, err := a.Advise(ctx, step, workers)
-		m.Call("advice.ask", time.Since(began), err)
+		m.ObserveCall("advice.ask", time.Since(began), err)
 		return tickets, err
 	}}
 }
--- a/services/once/once.go
+++ b/services/once/once.go
@@ -22,21 +22,21 @@
 	State   func() state.State
 }
 
-// Desk claims keys for this entry.
-type Desk struct {
+// Service claims keys for this entry.
+type Service struct {
 	Ledger Proposer
 	Clock  clock.Clock
 	Logger log.Logger
-	// Life bounds how long a result waits for the log, 0 for the default.
-	Life time.Duration
+	// ResultTimeout bounds how long a result waits for the log, 0 for the default.
+	ResultTimeout time.Duration
 }
 
 // resultLife is how long a result is kept for a log that is down.
 const resultLife = 10 * time.Minute
 
-// Sum returns the fingerprint by which a repeat of a request is told from
+// Fingerprint returns the fingerprint by which a repeat of a request is told from
 // another one that uses its key.
-func Sum(method, path string, body []byte) []byte {
+func Fingerprint(method, path string, body []byte) []byte {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(path), body} {
 		h.Write(part)
@@ -45,32 +45,32 @@
 	return h.Sum(nil)[:16]
 }
 
-// Claimed is a key that this process alone may dispatch, once.
-type Claimed struct {
+// Claim is a key that this process alone may dispatch, once.
+type Claim struct {
 	Key    string
 	Offset uint64 // of the claim
 }
 
 // Claim reserves the key for one dispatch by the caller of this function. It
 // returns the kept answer, where there is one, with an AlreadyRun error.
-func (d *Desk) Claim(ctx context.Context, key string, sum []byte) (Claimed, *record.Reply, error) {
+func (d *Service) Claim(ctx context.Context, key string, sum []byte) (Claim, *record.Reply, error) {
 	if err := oncekey.Check(key, d.Clock.Now()); err != nil {
-		return Claimed{}, nil, err
+		return Claim{}, nil, err
 	}
 	late := func(verdicts []state.Verdict) { d.giveBack(key, verdicts) }
 	records := []record.Record{{Claim: &record.Claim{Key: key, Sum: sum}}}
 	verdicts, err := d.Ledger.Propose(ctx, records, late)
 	if err != nil {
-		return Claimed{}, nil, notRun(err)
+		return Claim{}, nil, notRun(err)
 	}
 	c, _ := d.Ledger.State().Claim(key)
 	if verdicts[0] == nil {
-		return Claimed{Key: key, Offset: c.Offset}, nil, nil
+		return Claim{Key: key, Offset: c.Offset}, nil, nil
 	}
 	if errkind.Is(verdicts[0], errkind.AlreadyRun) {
-		return Claimed{}, c.Reply, verdicts[0]
+		return Claim{}, c.Reply, verdicts[0]
 	}
-	return Claimed{}, nil, verdicts[0]
+	return Claim{}, nil, verdicts[0]
 }
 
 // notRun turns every failure to claim into one that is true of the request:
@@ -85,7 +85,7 @@
 
 // giveBack frees a key whose claim was accepted after its request had been
 // refused.
-func (d *Desk) giveBack(key string, verdicts []state.Verdict) {
+func (d *Service) giveBack(key string, verdicts []state.Verdict) {
 	if verdicts[0] == nil {
 		c, _ := d.Ledger.State().Claim(key)
 		d.Finish(record.Result{Key: key, Claim: c.Offset, NotRun: true})
@@ -94,8 +94,8 @@
 
 // Finish records how a claimed request ended. It waits for the log for a
 // while; without it the key stays taken, which refuses repeats.
-func (d *Desk) Finish(r record.Result) {
-	life := d.Life
+func (d *Service) Finish(r record.Result) {
+	life := d.ResultTimeout
 	if life == 0 {
 		life = resultLife
 	}
--- a/services/outlier/outlier.go
+++ b/services/outlier/outlier.go
@@ -21,8 +21,8 @@
 	latencyWeight = 0.1
 )
 
-// Watch judges targets by how their requests end; its zero value is ready.
-type Watch struct {
+// Detector judges targets by how their requests end; its zero value is ready.
+type Detector struct {
 	Clock clock.Clock
 	// Peers returns the targets that serve the same as a target, itself
 	// included; nil for none.
@@ -40,7 +40,7 @@
 	latency  time.Duration
 }
 
-func (w *Watch) get(worker string) *record {
+func (w *Detector) get(worker string) *record {
 	if w.targets == nil {
 		w.targets = make(map[string]*record)
 	}
@@ -53,7 +53,7 @@
 }
 
 // MayUse reports whether a target may be given a request.
-func (w *Watch) MayUse(worker string) bool {
+func (w *Detector) MayUse(worker string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := w.get(worker)
@@ -63,8 +63,8 @@
 	return !r.trial && !w.Clock.Now().Before(r.until)
 }
 
-// Begin notes that a request goes to a target; one set aside is on trial.
-func (w *Watch) Begin(worker string) {
+// RecordStart notes that a request goes to a target; one set aside is on trial.
+func (w *Detector) RecordStart(worker string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if r := w.get(worker); r.aside > 0 {
@@ -72,8 +72,8 @@
 	}
 }
 
-// Good notes an answer and how long it took.
-func (w *Watch) Good(worker string, took time.Duration) {
+// RecordSuccess notes an answer and how long it took.
+func (w *Detector) RecordSuccess(worker string, took time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := w.get(worker)
@@ -85,9 +85,9 @@
 	r.latency += time.Duration(latencyWeight * float64(took-r.latency))
 }
 
-// Bad notes a failure, and sets the target aside after some in a row; never
+// RecordFailure notes a failure, and sets the target aside after some in a row; never
 // more than half of those that serve the same.
-func (w *Watch) Bad(worker string) {
+func (w *Detector) RecordFailure(worker string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := w.get(worker)
@@ -104,14 +104,14 @@
 	}
 }
 
-// Unjudged ends a request that says nothing of the target.
-func (w *Watch) Unjudged(worker string) {
+// RecordInconclusive ends a request that says nothing of the target.
+func (w *Detector) RecordInconclusive(worker string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.get(worker).trial = false
 }
 
-func (w *Watch) maySetAside(worker string) bool {
+func (w *Detector) maySetAside(worker string) bool {
 	if w.Peers == nil {
 		return true
 	}
@@ -126,14 +126,14 @@
 }
 
 // Latency returns the usual time of a target's answers, 0 for not known.
-func (w *Watch) Latency(worker string) time.Duration {
+func (w *Detector) Latency(worker string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.get(worker).latency
 }
 
-// Aside returns the targets that are set aside and until when.
-func (w *Watch) Aside() map[string]time.Time {
+// Ejected returns the targets that are set aside and until when.
+func (w *Detector) Ejected() map[string]time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m := make(map[string]time.Time)
--- a/services/platform/platform.go
+++ b/services/platform/platform.go
@@ -68,7 +68,7 @@
 	Command  string        `json:"command"`
 	Cores    int           `json:"cores"`
 	MemoryGB int           `json:"memory_gb"`
-	Life     time.Duration `json:"life"` // of the lease
+	LeaseTTL time.Duration `json:"life"` // of the lease
 }
 
 // TaskState is what a worker says of a task.
@@ -85,7 +85,7 @@
 // Reports is one reading of the workers' reports.
 type Reports struct {
 	Revision uint64       `json:"revision"` // never goes back
-	Whole    bool         `json:"whole"`    // tasks that are not in it are no longer reported
+	Complete bool         `json:"whole"`    // tasks that are not in it are no longer reported
 	Tasks    []TaskStatus `json:"tasks,omitempty"`
 }
 
--- a/services/pools/assign.go
+++ b/services/pools/assign.go
@@ -14,9 +14,9 @@
 	"github.com/yardbridge/yardbridge/models/state"
 )
 
-// GoneGrace is how long a pool waits for an instance that left the platform's
+// MissingGracePeriod is how long a pool waits for an instance that left the platform's
 // list, while its budget holds without it: most come back, at no move.
-const GoneGrace = 2 * time.Minute
+const MissingGracePeriod = 2 * time.Minute
 
 // Shortage is what a pool lacks and nothing can fill.
 type Shortage struct {
@@ -35,7 +35,7 @@
 	now       time.Time
 	records   []record.Record
 	shortages []Shortage
-	blocked   []Blocked
+	blocked   []BlockedInstance
 
 	spare     []state.Instance // by worker, those that have found no pool yet
 	spareIn   map[rack]int     // of them, by rack
@@ -164,7 +164,7 @@
 		case i.Purpose == record.ForMove:
 		case i.Worker.Condition != fleet.Gone || i.Phase == state.Rebooting && patient:
 			n++
-		case patient && p.now.Sub(i.GoneAt) < GoneGrace:
+		case patient && p.now.Sub(i.GoneAt) < MissingGracePeriod:
 			n++
 		}
 	}
--- a/services/pools/calendar.go
+++ b/services/pools/calendar.go
@@ -13,23 +13,23 @@
 	"github.com/yardbridge/yardbridge/models/state"
 )
 
-// Due is when a rack comes up for maintenance.
-type Due struct {
-	Hall      string    `json:"hall"`
-	Rack      string    `json:"rack"`
-	Instances int       `json:"instances"`
-	From      time.Time `json:"from"` // its oldest instance is due
-	By        time.Time `json:"by"`   // the end of that instance's period
+// RackDue is when a rack comes up for maintenance.
+type RackDue struct {
+	DataCenter string    `json:"hall"`
+	Rack       string    `json:"rack"`
+	Instances  int       `json:"instances"`
+	From       time.Time `json:"from"` // its oldest instance is due
+	By         time.Time `json:"by"`   // the end of that instance's period
 }
 
 // Calendar returns when each rack comes up for maintenance under a catalog, the
 // first one first, and nothing where none is declared.
-func Calendar(s state.State, c state.Catalog) []Due {
+func Calendar(s state.State, c state.Catalog) []RackDue {
 	m := c.Maintenance()
 	if m == nil {
 		return nil
 	}
-	racks := make(map[rack]*Due)
+	racks := make(map[rack]*RackDue)
 	for _, i := range s.Instances.All() {
 		if i.Worker.Condition == fleet.Gone {
 			continue
@@ -37,7 +37,7 @@
 		at := rackOf(i)
 		d, ok := racks[at]
 		if !ok {
-			d = &Due{Hall: at.hall, Rack: at.name}
+			d = &RackDue{DataCenter: at.hall, Rack: at.name}
 			racks[at] = d
 		}
 		d.Instances++
@@ -45,12 +45,12 @@
 			d.From, d.By = i.MaintainedAt.Add(m.PeriodFraction(manifest.DueFraction)), by
 		}
 	}
-	calendar := make([]Due, 0, len(racks))
+	calendar := make([]RackDue, 0, len(racks))
 	for _, d := range racks {
 		calendar = append(calendar, *d)
 	}
-	slices.SortFunc(calendar, func(a, b Due) int {
-		return cmp.Or(a.By.Compare(b.By), cmp.Compare(a.Hall, b.Hall), cmp.Compare(a.Rack, b.Rack))
+	slices.SortFunc(calendar, func(a, b RackDue) int {
+		return cmp.Or(a.By.Compare(b.By), cmp.Compare(a.DataCenter, b.DataCenter), cmp.Compare(a.Rack, b.Rack))
 	})
 	return calendar
 }
--- a/services/pools/decider.go
+++ b/services/pools/decider.go
@@ -55,7 +55,7 @@
 	for ctx.Err() == nil {
 		s, changed := d.Changed()
 		if d.due(s) {
-			d.Once(ctx, s)
+			d.RunOnce(ctx, s)
 		}
 		select {
 		case <-changed:
@@ -88,9 +88,9 @@
 	holds    bool // the role
 }
 
-// Once carries out the accepted reboots of this process, which nobody else may,
+// RunOnce carries out the accepted reboots of this process, which nobody else may,
 // and proposes the plan for a state if it holds the role.
-func (d *Decider) Once(ctx context.Context, s state.State) {
+func (d *Decider) RunOnce(ctx context.Context, s state.State) {
 	d.reboot(ctx, s)
 	if d.holds(s) {
 		d.propose(ctx, s)
@@ -98,7 +98,7 @@
 }
 
 func (d *Decider) propose(ctx context.Context, s state.State) {
-	plan := Make(s, d.Name, d.Incarnation, d.Clock.Now())
+	plan := MakePlan(s, d.Name, d.Incarnation, d.Clock.Now())
 	d.mu.Lock()
 	d.last = plan
 	d.mu.Unlock()
@@ -169,8 +169,8 @@
 	return true
 }
 
-// Last returns the newest plan of this process.
-func (d *Decider) Last() Plan {
+// LatestPlan returns the newest plan of this process.
+func (d *Decider) LatestPlan() Plan {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.last
--- a/services/pools/decider_test.go
+++ b/services/pools/decider_test.go
@@ -48,7 +48,7 @@
 // act lets the decider do what its loop would do for the newest state.
 func act(d *Decider, s state.State) {
 	if d.due(s) {
-		d.Once(context.Background(), s)
+		d.RunOnce(context.Background(), s)
 	}
 }
 
@@ -74,10 +74,10 @@
 		}
 		return errkind.New(errkind.OutcomeUnknown, "no answer")
 	})
-	d.Once(context.Background(), y.s)
+	d.RunOnce(context.Background(), y.s)
 	refuse = false
-	d.Once(context.Background(), y.s)
-	d.Once(context.Background(), y.s)
+	d.RunOnce(context.Background(), y.s)
+	d.RunOnce(context.Background(), y.s)
 	for worker, n := range asked {
 		assert.Equal(t, n, 2, "%s: asked again after the refusal, and not after an unknown outcome", worker)
 	}
--- a/services/pools/maintain.go
+++ b/services/pools/maintain.go
@@ -19,8 +19,8 @@
 // others, whatever that costs.
 const lateShare = 0.95
 
-// Blocked is an instance that is due for maintenance and can't be drained.
-type Blocked struct {
+// BlockedInstance is an instance that is due for maintenance and can't be drained.
+type BlockedInstance struct {
 	Worker string `json:"worker"`
 	Pool   string `json:"pool"`
 	Reason string `json:"reason"`
@@ -208,7 +208,7 @@
 
 // block notes why an instance can't be drained.
 func (p *planner) block(i state.Instance, why error) {
-	p.blocked = append(p.blocked, Blocked{i.Worker.ID, i.Pool, errkind.Of(why).Message})
+	p.blocked = append(p.blocked, BlockedInstance{i.Worker.ID, i.Pool, errkind.Of(why).Message})
 }
 
 func (p *planner) drainOne(i state.Instance) {
--- a/services/pools/maintain_test.go
+++ b/services/pools/maintain_test.go
@@ -175,9 +175,9 @@
 	y.now = y.now.Add(time.Hour)
 	y.see("w001", func(w *fleet.Worker) { w.BootCount++ })
 	y.see("w007", func(w *fleet.Worker) { w.Condition = fleet.Gone })
-	assert.DeepEqual(t, Calendar(y.s, y.s.Catalog), []Due{
-		{Hall: "h1", Rack: "r1", Instances: 3, From: begin.Add(80 * time.Hour), By: begin.Add(100 * time.Hour)},
-		{Hall: "h0", Rack: "r0", Instances: 4, From: begin.Add(90 * time.Hour), By: begin.Add(110 * time.Hour)},
+	assert.DeepEqual(t, Calendar(y.s, y.s.Catalog), []RackDue{
+		{DataCenter: "h1", Rack: "r1", Instances: 3, From: begin.Add(80 * time.Hour), By: begin.Add(100 * time.Hour)},
+		{DataCenter: "h0", Rack: "r0", Instances: 4, From: begin.Add(90 * time.Hour), By: begin.Add(110 * time.Hour)},
 	})
 }
 
@@ -190,9 +190,9 @@
 	y.now = y.now.Add(testPeriod * 96 / 100)
 	most := 0
 	for n := range 60 {
-		want := Make(y.s, "e", 1, y.now)
+		want := MakePlan(y.s, "e", 1, y.now)
 		for range 10 {
-			assert.DeepEqual(t, Make(y.s, "e", 1, y.now), want)
+			assert.DeepEqual(t, MakePlan(y.s, "e", 1, y.now), want)
 		}
 		y.step()
 		most = max(most, racksUnderWork(y.s))
--- a/services/pools/plan.go
+++ b/services/pools/plan.go
@@ -14,12 +14,12 @@
 type Plan struct {
 	Records   []record.Record
 	Shortages []Shortage
-	Blocked   []Blocked
+	Blocked   []BlockedInstance
 }
 
-// Make returns the next steps for a state at a time, as an entry would propose
+// MakePlan returns the next steps for a state at a time, as an entry would propose
 // them; it decides the same for the same input.
-func Make(s state.State, entry string, incarnation uint64, now time.Time) Plan {
+func MakePlan(s state.State, entry string, incarnation uint64, now time.Time) Plan {
 	p := &planner{s: s, name: entry, inc: incarnation, now: now}
 	p.advance()
 	p.assign()
@@ -41,8 +41,8 @@
 	To     string `json:"to"`
 }
 
-// Foresee returns what assigning instances would do under a catalog.
-func Foresee(s state.State, c state.Catalog, now time.Time) Preview {
+// PreviewCatalog returns what assigning instances would do under a catalog.
+func PreviewCatalog(s state.State, c state.Catalog, now time.Time) Preview {
 	s.Catalog = c
 	before := s
 	p := &planner{s: s, now: now}
--- a/services/pools/plan_test.go
+++ b/services/pools/plan_test.go
@@ -68,7 +68,7 @@
 
 // step proposes the plan and returns it.
 func (y *yard) step() Plan {
-	p := Make(y.s, "e", 1, y.now)
+	p := MakePlan(y.s, "e", 1, y.now)
 	if len(p.Records) > 0 {
 		y.put(p.Records...)
 	}
@@ -124,7 +124,7 @@
 	assert.Equal(t, len(y.step().Records), 0)
 	lose("b") // 5 serve, 4 through the loss of a rack: too few
 	assert.Equal(t, len(y.step().Records), 1)
-	y.now = y.now.Add(2 * GoneGrace)
+	y.now = y.now.Add(2 * MissingGracePeriod)
 	assert.Equal(t, len(y.step().Records), 1, "after the grace it is replaced in any case")
 }
 
--- a/services/rollout/rollout.go
+++ b/services/rollout/rollout.go
@@ -52,7 +52,7 @@
 	Lagging []string      `json:"lagging,omitempty"`
 	Preview pools.Preview `json:"preview"`
 	// Calendar is when racks come up for maintenance; only a plan has it.
-	Calendar []pools.Due `json:"calendar,omitempty"`
+	Calendar []pools.RackDue `json:"calendar,omitempty"`
 }
 
 // Plan returns what a file would change and lead to, without applying it.
@@ -82,7 +82,7 @@
 	if err != nil {
 		return Result{}, proposal{}, err
 	}
-	result := Result{Version: base, Preview: pools.Foresee(s, catalog, v.Clock.Now())}
+	result := Result{Version: base, Preview: pools.PreviewCatalog(s, catalog, v.Clock.Now())}
 	for _, o := range change.Put {
 		result.Changed = append(result.Changed, o.Ref().String())
 	}
--- a/services/slots/acquire.go
+++ b/services/slots/acquire.go
@@ -12,8 +12,8 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// Ask is one request's need of a slot.
-type Ask struct {
+// AcquireRequest is one request's need of a slot.
+type AcquireRequest struct {
 	Pool     string
 	Class    manifest.Class
 	Deadline time.Time
@@ -60,7 +60,7 @@
 
 // Acquire returns a slot of any target of the pool. It gives up at once, with
 // the time to come back, where the request can't be served in time.
-func (h *Holder) Acquire(ctx context.Context, a Ask) (*Slot, error) {
+func (h *Holder) Acquire(ctx context.Context, a AcquireRequest) (*Slot, error) {
 	h.mu.Lock()
 	h.init()
 	p := h.pool(a.Pool)
@@ -90,7 +90,7 @@
 const choosyShare = 4
 
 // enqueue makes a request wait, unless that is hopeless; h.mu is held.
-func (h *Holder) enqueue(p *poolHoldings, a Ask) (*waiter, error) {
+func (h *Holder) enqueue(p *poolHoldings, a AcquireRequest) (*waiter, error) {
 	if !slices.ContainsFunc(p.targets, func(t *holding) bool { return t.serving }) {
 		return nil, errkind.New(errkind.NoTarget, "pool %s has no target in service", a.Pool)
 	}
--- a/services/slots/acquire_test.go
+++ b/services/slots/acquire_test.go
@@ -32,7 +32,7 @@
 func ask(n *network, h *Holder, class manifest.Class) (*waiter, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.enqueue(h.pool("p"), Ask{
+	return h.enqueue(h.pool("p"), AcquireRequest{
 		Pool: "p", Class: class, Deadline: n.clock.Now().Add(testDeadline), Limit: 1000, Typical: testTypical,
 	})
 }
--- a/services/slots/holder.go
+++ b/services/slots/holder.go
@@ -14,11 +14,11 @@
 // Holder holds the slots that this entry has borrowed, and queues the requests
 // that wait for one.
 type Holder struct {
-	Clock clock.Clock
-	Name  string // of this entry
-	Hall  string // of this entry
-	// Kick asks the exchange with an owner to run soon; it must not block.
-	Kick func(owner string)
+	Clock      clock.Clock
+	Name       string // of this entry
+	DataCenter string // of this entry
+	// RequestExchange asks the exchange with an owner to run soon; it must not block.
+	RequestExchange func(owner string)
 	// MayUse reports whether a target is fit for new requests, beside what the
 	// state says; nil for always.
 	MayUse func(worker string) bool
@@ -161,7 +161,7 @@
 
 func (h *Holder) kickAll(owners []string) {
 	for _, o := range owners {
-		h.Kick(o)
+		h.RequestExchange(o)
 	}
 }
 
--- a/services/slots/lend.go
+++ b/services/slots/lend.go
@@ -18,7 +18,7 @@
 }
 
 // lend takes free slots of a pool's targets, from the emptiest target first.
-func (l *Lender) lend(k holderKey, w Want) []Holding {
+func (l *Lender) lend(k holderKey, w SlotRequest) []Holding {
 	free := make(map[string]int)
 	for worker, a := range l.owned {
 		if n := l.free(worker, a); a.pool == w.Pool && n > 0 {
@@ -65,14 +65,14 @@
 
 // refused remembers the want, and recalls slots from the entry that holds the
 // most of the pool.
-func (l *Lender) refused(k holderKey, w Want, given int) {
+func (l *Lender) refused(k holderKey, w SlotRequest, given int) {
 	l.wanting[wantKey{k.entry, w.Pool}] = true
 	fair := l.holders[k].haves[w.Pool] + given
 	richest, most := l.richest(k, w.Pool)
 	if richest == "" {
 		return
 	}
-	l.Poke(richest, Poke{Owner: l.Name, Pool: w.Pool, Recall: max((most-fair)/2, 1), Fair: fair})
+	l.Notify(richest, Notification{Owner: l.Name, Pool: w.Pool, Recall: max((most-fair)/2, 1), LeastHeld: fair})
 }
 
 // richest returns the entry with slots of this owner that holds the most of
@@ -108,13 +108,13 @@
 		if free[w.pool] > 0 {
 			free[w.pool]--
 			delete(l.wanting, w)
-			l.Poke(w.entry, Poke{Owner: l.Name, Pool: w.pool})
+			l.Notify(w.entry, Notification{Owner: l.Name, Pool: w.pool})
 		}
 	}
 }
 
-// Refresh pokes entries whose wants can be met since a quarantine has ended.
-func (l *Lender) Refresh() {
+// NotifyWaiting pokes entries whose wants can be met since a quarantine has ended.
+func (l *Lender) NotifyWaiting() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
--- a/services/slots/lender.go
+++ b/services/slots/lender.go
@@ -23,8 +23,8 @@
 	Clock      clock.Clock
 	Name       string        // of this entry
 	Quarantine time.Duration // 0 takes the default
-	// Poke tells another entry, or this one, to come back; it must not block.
-	Poke func(entry string, p Poke)
+	// Notify tells another entry, or this one, to come back; it must not block.
+	Notify func(entry string, p Notification)
 
 	mu       sync.Mutex
 	state    state.State
@@ -109,7 +109,7 @@
 }
 
 // Exchange books what a holder holds and lends it what it wants.
-func (l *Lender) Exchange(x Exchange) Granted {
+func (l *Lender) Exchange(x Exchange) ExchangeResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
@@ -120,19 +120,19 @@
 		l.holders[k] = h
 	}
 	if x.Session < h.session || x.Session > h.session && !x.Full || !l.current(k) {
-		return Granted{Stale: true}
+		return ExchangeResponse{Stale: true}
 	}
 	if x.Offset > l.state.OwnersChangedAt {
-		return Granted{Behind: true}
+		return ExchangeResponse{Behind: true}
 	}
 	h.session = x.Session
 	h.offset = x.Offset
 	l.book(k, x)
-	for _, have := range x.Haves {
+	for _, have := range x.PoolHoldings {
 		h.haves[have.Pool] = have.Count
 	}
-	var g Granted
-	for _, w := range x.Wants {
+	var g ExchangeResponse
+	for _, w := range x.Requests {
 		g.Grants = append(g.Grants, l.lend(k, w)...)
 	}
 	l.pokeWanting()
@@ -159,24 +159,24 @@
 	}
 }
 
-// Idle is an owned target that is draining and has no request in flight.
-type Idle struct {
+// IdleTarget is an owned target that is draining and has no request in flight.
+type IdleTarget struct {
 	Worker string
 	Epoch  uint64
 }
 
 // Idle returns the draining targets all of whose slots are back.
-func (l *Lender) Idle() []Idle {
+func (l *Lender) Idle() []IdleTarget {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var idle []Idle
+	var idle []IdleTarget
 	for worker := range l.draining {
 		a := l.owned[worker]
 		i, ok := l.state.Instances.Get(worker)
 		if !ok || i.Phase != state.Draining || !l.accounted(i, a) || a.out() > 0 {
 			continue
 		}
-		idle = append(idle, Idle{Worker: worker, Epoch: a.epoch})
+		idle = append(idle, IdleTarget{Worker: worker, Epoch: a.epoch})
 	}
 	return idle
 }
--- a/services/slots/link.go
+++ b/services/slots/link.go
@@ -12,7 +12,7 @@
 )
 
 // Call sends an exchange to an owner and returns its answer.
-type Call func(ctx context.Context, owner string, x Exchange) (Granted, error)
+type Call func(ctx context.Context, owner string, x Exchange) (ExchangeResponse, error)
 
 // Times of the exchange.
 const (
@@ -23,8 +23,8 @@
 	askPatience = 100 * time.Millisecond
 )
 
-// Links runs the exchanges with all owners, one at a time with each.
-type Links struct {
+// Exchanger runs the exchanges with all owners, one at a time with each.
+type Exchanger struct {
 	Holder      *Holder
 	Incarnation uint64
 	Call        Call
@@ -37,7 +37,7 @@
 
 // link is the exchange with one owner.
 type link struct {
-	links   *Links
+	links   *Exchanger
 	owner   string
 	kick    chan struct{}
 	session uint64
@@ -47,23 +47,23 @@
 
 // Run asks owners again from time to time until the context ends; exchanges
 // are run only while it does.
-func (l *Links) Run(ctx context.Context) {
+func (l *Exchanger) Run(ctx context.Context) {
 	l.mu.Lock()
 	l.ctx = ctx
 	l.mu.Unlock()
 	for ctx.Err() == nil {
 		for _, o := range l.Holder.askAgain() {
-			l.Kick(o)
+			l.RequestExchange(o)
 		}
 		select {
-		case <-l.Holder.Clock.After(AskPeriod):
+		case <-l.Holder.Clock.After(RetryPeriod):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// Kick makes the exchange with an owner run soon.
-func (l *Links) Kick(owner string) {
+// RequestExchange makes the exchange with an owner run soon.
+func (l *Exchanger) RequestExchange(owner string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ctx == nil || owner == "" {
@@ -168,9 +168,9 @@
 	}
 	for name := range pools {
 		p := h.pool(name)
-		x.Haves = append(x.Haves, Have{Pool: name, Count: h.held(p)})
+		x.PoolHoldings = append(x.PoolHoldings, PoolHolding{Pool: name, Count: h.held(p)})
 		if n := p.queue.all(); n > 0 && !p.askedAt[owner] {
-			x.Wants = append(x.Wants, Want{Pool: name, Count: min(n, maxWant), Avoid: p.queue.avoided()})
+			x.Requests = append(x.Requests, SlotRequest{Pool: name, Count: min(n, maxWant), Avoid: p.queue.avoided()})
 			due = true
 		}
 	}
@@ -190,7 +190,7 @@
 
 // accept takes the slots that were granted. A grant under another ownership
 // than the one known here is dropped, and the owner must be told.
-func (h *Holder) accept(owner string, x Exchange, g Granted) (dropped bool, kicks []string) {
+func (h *Holder) accept(owner string, x Exchange, g ExchangeResponse) (dropped bool, kicks []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.told[owner] = x.Offset
@@ -198,7 +198,7 @@
 	given := make(map[string]int)
 	other := make(map[string]bool) // by pool, a slot of a target that is not avoided
 	avoid := make(map[string]string)
-	for _, w := range x.Wants {
+	for _, w := range x.Requests {
 		avoid[w.Pool] = w.Avoid
 	}
 	for _, n := range g.Grants {
@@ -211,7 +211,7 @@
 		given[t.pool] += n.Count
 		other[t.pool] = other[t.pool] || t.worker != avoid[t.pool]
 	}
-	for _, w := range x.Wants {
+	for _, w := range x.Requests {
 		p := h.pool(w.Pool)
 		if given[w.Pool] < w.Count || w.Avoid != "" && !other[w.Pool] {
 			p.askedAt[owner] = true
--- a/services/slots/message.go
+++ b/services/slots/message.go
@@ -10,15 +10,15 @@
 	Count  int    `json:"n"`
 }
 
-// Want asks for slots of any target of a pool.
-type Want struct {
+// SlotRequest asks for slots of any target of a pool.
+type SlotRequest struct {
 	Pool  string `json:"p"`
 	Count int    `json:"n"`
 	Avoid string `json:"a,omitempty"` // worker that is lent last, empty for none
 }
 
-// Have says how many slots of a pool an entry holds from all owners.
-type Have struct {
+// PoolHolding says how many slots of a pool an entry holds from all owners.
+type PoolHolding struct {
 	Pool  string `json:"p"`
 	Count int    `json:"n"`
 }
@@ -26,31 +26,31 @@
 // Exchange is what a holder sends to an owner: what it holds, as absolute
 // counts, and what it wants. One exchange at a time is under way on a session.
 type Exchange struct {
-	Entry       string    `json:"entry"`
-	Incarnation uint64    `json:"inc"`
-	Session     uint64    `json:"session"` // grows whenever an answer was missed
-	Offset      uint64    `json:"offset"`  // of the newest change of ownership that the holder knows
-	Full        bool      `json:"full"`    // targets that are not listed are not held
-	Held        []Holding `json:"held,omitempty"`
-	Wants       []Want    `json:"wants,omitempty"`
-	Haves       []Have    `json:"haves,omitempty"`
+	Entry        string        `json:"entry"`
+	Incarnation  uint64        `json:"inc"`
+	Session      uint64        `json:"session"` // grows whenever an answer was missed
+	Offset       uint64        `json:"offset"`  // of the newest change of ownership that the holder knows
+	Full         bool          `json:"full"`    // targets that are not listed are not held
+	Held         []Holding     `json:"held,omitempty"`
+	Requests     []SlotRequest `json:"wants,omitempty"`
+	PoolHoldings []PoolHolding `json:"haves,omitempty"`
 }
 
-// Granted answers an exchange with the slots that were lent on top.
-type Granted struct {
+// ExchangeResponse answers an exchange with the slots that were lent on top.
+type ExchangeResponse struct {
 	Grants []Holding `json:"grants,omitempty"`
 	Stale  bool      `json:"stale,omitempty"`  // a newer session is known; nothing was done
 	Behind bool      `json:"behind,omitempty"` // the owner knows less of the log; nothing was done
 }
 
-// Poke asks a holder to come back: to borrow what has become free, or to give
+// Notification asks a holder to come back: to borrow what has become free, or to give
 // back what another entry needs more.
-type Poke struct {
+type Notification struct {
 	Owner string `json:"owner"`
 	Pool  string `json:"pool"`
 	// Recall is how many slots are asked back, 0 where slots have become free.
 	Recall int `json:"recall,omitempty"`
-	// Fair is what the neediest entry holds; a holder gives up slots in use
+	// LeastHeld is what the neediest entry holds; a holder gives up slots in use
 	// only while it holds clearly more.
-	Fair int `json:"fair,omitempty"`
+	LeastHeld int `json:"fair,omitempty"`
 }
--- a/services/slots/network_test.go
+++ b/services/slots/network_test.go
@@ -100,8 +100,8 @@
 		return now
 	}}
 	d := &node{name: name, links: make(map[string]*link)}
-	d.lender = &Lender{Clock: c, Name: name, Poke: func(string, Poke) {}}
-	d.holder = &Holder{Clock: c, Name: name, Kick: func(string) {}}
+	d.lender = &Lender{Clock: c, Name: name, Notify: func(string, Notification) {}}
+	d.holder = &Holder{Clock: c, Name: name, RequestExchange: func(string) {}}
 	n.nodes[name] = d
 	n.names = append(n.names, name)
 	n.put(name, record.Record{Join: &record.Join{Address: name}})
@@ -134,19 +134,19 @@
 var errLost = errors.New("lost")
 
 // call carries an exchange, with the fault that was drawn for it.
-func (n *network) call(_ context.Context, owner string, x Exchange) (Granted, error) {
+func (n *network) call(_ context.Context, owner string, x Exchange) (ExchangeResponse, error) {
 	o := n.nodes[owner]
 	switch {
 	case o == nil || o.dead || o.left || n.fault == "request lost":
-		return Granted{}, errLost
+		return ExchangeResponse{}, errLost
 	case n.fault == "delayed":
 		n.late = append(n.late, lateExchange{owner, x})
-		return Granted{}, errLost
+		return ExchangeResponse{}, errLost
 	}
 	g := o.lender.Exchange(x)
 	switch n.fault {
 	case "answer lost":
-		return Granted{}, errLost
+		return ExchangeResponse{}, errLost
 	case "overtaken":
 		n.overtake(n.nodes[x.Entry], o)
 	}
@@ -178,7 +178,7 @@
 func (n *network) exchange(d *node, owner string) {
 	k, ok := d.links[owner]
 	if !ok {
-		links := &Links{Holder: d.holder, Incarnation: 1, Call: n.call, Logger: log.Nop()}
+		links := &Exchanger{Holder: d.holder, Incarnation: 1, Call: n.call, Logger: log.Nop()}
 		k = &link{links: links, owner: owner, session: 1, broken: true}
 		d.links[owner] = k
 	}
--- a/services/slots/notice.go
+++ b/services/slots/notice.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Leaving stops new requests to targets before the log says that they leave.
-func (h *Holder) Leaving(workers []string) (news bool) {
+// MarkLeaving stops new requests to targets before the log says that they leave.
+func (h *Holder) MarkLeaving(workers []string) (news bool) {
 	h.mu.Lock()
 	h.init()
 	for _, w := range workers {
--- a/services/slots/notice_test.go
+++ b/services/slots/notice_test.go
@@ -34,8 +34,8 @@
 		n.catchUp(d, len(n.log))
 	}
 	n.catchUp(d, len(n.log))
-	assert.Assert(t, d.holder.Leaving([]string{"w0"}))
-	assert.Assert(t, !d.holder.Leaving([]string{"w0"}), "old news must not be passed on")
+	assert.Assert(t, d.holder.MarkLeaving([]string{"w0"}))
+	assert.Assert(t, !d.holder.MarkLeaving([]string{"w0"}), "old news must not be passed on")
 	assert.Equal(t, serving(d.holder), testWorkers-1)
 	// The log confirms it, and then shows that the worker came back.
 	see(func(w *fleet.Worker) { w.Condition = fleet.Leaving })
@@ -43,7 +43,7 @@
 	see(func(w *fleet.Worker) { w.Condition = fleet.Live; w.BootCount++ })
 	assert.Equal(t, serving(d.holder), testWorkers)
 	// News that nobody confirms is dropped in time, though the log is silent.
-	d.holder.Leaving([]string{"w0"})
+	d.holder.MarkLeaving([]string{"w0"})
 	n.catchUp(d, len(n.log))
 	n.clock.Advance(2 * noticeLife)
 	d.holder.askAgain()
--- a/services/slots/pick.go
+++ b/services/slots/pick.go
@@ -12,7 +12,7 @@
 // held. Of two targets at random, in this entry's hall if there are any, it
 // takes the cheaper one.
 func (h *Holder) pick(p *poolHoldings, avoid string) *holding {
-	best := h.pickWhere(p, func(t *holding) bool { return t.hall == h.Hall && t.worker != avoid && h.mayUse(t) })
+	best := h.pickWhere(p, func(t *holding) bool { return t.hall == h.DataCenter && t.worker != avoid && h.mayUse(t) })
 	if best == nil {
 		best = h.pickWhere(p, func(t *holding) bool { return t.worker != avoid && h.mayUse(t) })
 	}
@@ -88,7 +88,7 @@
 	if h.silent[owner] {
 		return 3
 	}
-	if e, _ := h.state.Entries.Get(owner); e.DataCenter == h.Hall {
+	if e, _ := h.state.Entries.Get(owner); e.DataCenter == h.DataCenter {
 		return 1
 	}
 	return 2
@@ -108,5 +108,5 @@
 	return kicks
 }
 
-// AskPeriod is how often owners that refused are asked again unasked.
-const AskPeriod = 250 * time.Millisecond
+// RetryPeriod is how often owners that refused are asked again unasked.
+const RetryPeriod = 250 * time.Millisecond
--- a/services/slots/repeat_test.go
+++ b/services/slots/repeat_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	w, err := h.enqueue(h.pool("p"), Ask{
+	w, err := h.enqueue(h.pool("p"), AcquireRequest{
 		Pool: "p", Class: manifest.Interactive, Deadline: n.clock.Now().Add(testDeadline), Limit: 1000, Avoid: failedOn,
 	})
 	assert.NilError(t, err)
@@ -86,7 +86,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			n, d := firstSlot(t)
-			d.holder.Leaving(leave)
+			d.holder.MarkLeaving(leave)
 			if leave == nil {
 				for _, worker := range []string{"w1", "w2"} {
 					d.lender.owned[worker].lent[holderKey{"e1", 1}] = testSlots
@@ -108,7 +108,7 @@
 		d.holder.Clock = clock.Clock{} // of the bubble
 		d.used[0].Release()
 		begun := time.Now()
-		s, err := d.holder.Acquire(t.Context(), Ask{
+		s, err := d.holder.Acquire(t.Context(), AcquireRequest{
 			Pool: "p", Class: manifest.Interactive, Deadline: begun.Add(testDeadline), Limit: 1000, Avoid: "w0",
 		})
 		assert.NilError(t, err)
--- a/services/slots/return.go
+++ b/services/slots/return.go
@@ -87,8 +87,8 @@
 	})
 }
 
-// HandlePoke follows an owner's poke.
-func (h *Holder) HandlePoke(p Poke) {
+// HandleNotification follows an owner's poke.
+func (h *Holder) HandleNotification(p Notification) {
 	h.mu.Lock()
 	h.init()
 	q := h.pool(p.Pool)
@@ -97,12 +97,12 @@
 		h.giveBack(q, p)
 	}
 	h.mu.Unlock()
-	h.Kick(p.Owner)
+	h.RequestExchange(p.Owner)
 }
 
 // giveBack returns idle slots of an owner, and owes it slots in use while this
 // entry holds clearly more than the neediest one.
-func (h *Holder) giveBack(q *poolHoldings, p Poke) {
+func (h *Holder) giveBack(q *poolHoldings, p Notification) {
 	left := p.Recall
 	for _, t := range q.targets {
 		if t.owner != p.Owner || left == 0 || q.queue.len() > 0 {
@@ -115,7 +115,7 @@
 			left -= n
 		}
 	}
-	if excess := h.held(q) - p.Fair; excess >= 2 && left > 0 {
+	if excess := h.held(q) - p.LeastHeld; excess >= 2 && left > 0 {
 		q.owed[p.Owner] = max(q.owed[p.Owner], min(left, excess/2))
 	}
 }
--- a/services/slots/silent_test.go
+++ b/services/slots/silent_test.go
@@ -20,13 +20,13 @@
 // owner that it would ask first, as behind a cut in one direction; its requests
 // get slots of another owner in time, the first one and those after it.
 func TestSilentOwnerKeepsNobodyFromAskingOthers(t *testing.T) {
-	for name, silent := range map[string]func(context.Context) (Granted, error){
-		"it does not answer": func(ctx context.Context) (Granted, error) {
+	for name, silent := range map[string]func(context.Context) (ExchangeResponse, error){
+		"it does not answer": func(ctx context.Context) (ExchangeResponse, error) {
 			<-ctx.Done()
-			return Granted{}, ctx.Err()
+			return ExchangeResponse{}, ctx.Err()
 		},
-		"it can't be reached":      func(context.Context) (Granted, error) { return Granted{}, errLost },
-		"it knows less of the log": func(context.Context) (Granted, error) { return Granted{Behind: true}, nil },
+		"it can't be reached":      func(context.Context) (ExchangeResponse, error) { return ExchangeResponse{}, errLost },
+		"it knows less of the log": func(context.Context) (ExchangeResponse, error) { return ExchangeResponse{Behind: true}, nil },
 	} {
 		synctest.Test(t, func(t *testing.T) { askBeside(t, name, silent) })
 	}
@@ -34,7 +34,7 @@
 
 // askBeside has an entry whose own slots are lent ask for others, while the
 // nearest owner of some does as it is told.
-func askBeside(t *testing.T, name string, silent func(context.Context) (Granted, error)) {
+func askBeside(t *testing.T, name string, silent func(context.Context) (ExchangeResponse, error)) {
 	n := newNetwork(3) // each entry owns the slots of one target
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -44,18 +44,18 @@
 	}
 	asking := n.nodes["e0"]
 	asking.lender.owned[asking.owns()].lent[holderKey{"e2", 1}] = testSlots
-	links := &Links{Holder: asking.holder, Incarnation: 1, Logger: log.Nop(), Call: func(ctx context.Context, owner string, x Exchange) (Granted, error) {
+	links := &Exchanger{Holder: asking.holder, Incarnation: 1, Logger: log.Nop(), Call: func(ctx context.Context, owner string, x Exchange) (ExchangeResponse, error) {
 		if owner == "e1" {
 			return silent(ctx)
 		}
 		return n.nodes[owner].lender.Exchange(x), nil
 	}}
-	asking.holder.Kick = links.Kick
+	asking.holder.RequestExchange = links.RequestExchange
 	go links.Run(ctx)
 	synctest.Wait()
 	for range testSlots {
 		begun := time.Now()
-		s, err := asking.holder.Acquire(ctx, Ask{
+		s, err := asking.holder.Acquire(ctx, AcquireRequest{
 			Pool: "p", Class: manifest.Interactive, Deadline: begun.Add(testDeadline), Limit: 1000,
 		})
 		assert.NilError(t, err, name)
--- a/standin/server.go
+++ b/standin/server.go
@@ -84,7 +84,7 @@
 		return
 	}
 	offset, err := s.Log.Append(r.Context(), data)
-	reply(w, platformhttp.Appended{Offset: offset}, err)
+	reply(w, platformhttp.AppendResponse{Offset: offset}, err)
 }
 
 func (s *Server) handleRead(w http.ResponseWriter, r *http.Request) {
@@ -150,15 +150,15 @@
 	return s.Platform.startTask(r.Context(), t)
 }
 
-func (s *Server) renew(r *http.Request, b platformhttp.Renewal) error {
-	return s.Platform.renewTasks(r.Context(), r.PathValue("id"), b.IDs, b.Life)
+func (s *Server) renew(r *http.Request, b platformhttp.RenewRequest) error {
+	return s.Platform.renewTasks(r.Context(), r.PathValue("id"), b.IDs, b.LeaseTTL)
 }
 
-func (s *Server) stop(r *http.Request, b platformhttp.Halt) error {
+func (s *Server) stop(r *http.Request, b platformhttp.StopRequest) error {
 	return s.Platform.stopTask(r.Context(), r.PathValue("id"), b.ID, b.Checkpoint)
 }
 
-func (s *Server) throttle(r *http.Request, b platformhttp.Limit) error {
+func (s *Server) throttle(r *http.Request, b platformhttp.ThrottleRequest) error {
 	return s.Platform.throttleTask(r.Context(), r.PathValue("id"), b.ID, b.Cores)
 }
 
--- a/standin/tasks.go
+++ b/standin/tasks.go
@@ -70,7 +70,7 @@
 	}
 	now := p.Clock.Now()
 	p.starts[t.ID]++
-	started := &task{spec: t, state: platform.TaskRunning, until: now.Add(t.Life), cores: t.Cores, wants: t.Cores}
+	started := &task{spec: t, state: platform.TaskRunning, until: now.Add(t.LeaseTTL), cores: t.Cores, wants: t.Cores}
 	started.plan(now)
 	if m.broken {
 		started.state = platform.TaskFailed
@@ -167,12 +167,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.advance()
-	r := platform.Reports{Revision: p.reported, Whole: known == 0 || known > p.reported}
+	r := platform.Reports{Revision: p.reported, Complete: known == 0 || known > p.reported}
 	for _, id := range slices.Sorted(maps.Keys(p.workers)) {
 		m := p.workers[id]
 		for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
 			t := m.tasks[name]
-			if r.Whole || t.changed > known {
+			if r.Complete || t.changed > known {
 				r.Tasks = append(r.Tasks, platform.TaskStatus{ID: name, Worker: id, State: t.state, Cores: t.cores})
 			}
 		}
