--- a/services/scheduler/advice.go
+++ b/services/scheduler/advice.go
@@ -13,45 +13,43 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// Where a queue has a policy, only the advice service knows which workers may run
-// a step, and gives a ticket for each. Which workers may does not change; tickets
-// run out.
+// If a queue has a policy, only the advice service knows which workers may run a step, and issues a
+// ticket for each. The set of permitted workers does not change; tickets expire.
 
-// ticket lets a step run on a worker.
+// ticket permits a step to run on a worker.
 type ticket struct {
-	text  string
-	until time.Time
+	text      string
+	expiresAt time.Time
 }
 
-// The bounds of questions to the advice service, which answers one after the other
-// and takes its time for each worker.
+// The limits of requests to the advice service, which processes them one after the other and takes
+// its time for each worker.
 const (
-	askMost      = 30                     // workers asked about at once; as many as a job's objective counts
-	askMargin    = 150 * time.Millisecond // a ticket must hold for so long yet, until its order has arrived
-	askAhead     = 500 * time.Millisecond // before a step's turn comes
-	askAgain     = 200 * time.Millisecond // after a question that was not answered
-	spareTickets = 2                      // workers with tickets beyond those that a step needs
+	maxAdviceWorkers = 30                     // workers per request; the number that a job's objective accounts for
+	ticketMargin     = 150 * time.Millisecond // minimum remaining validity of a ticket, for its order to arrive
+	adviceLead       = 500 * time.Millisecond // before a step becomes runnable
+	adviceRetryDelay = 200 * time.Millisecond // after a request that got no response
+	spareTickets     = 2                      // workers with tickets beyond those that a step needs
 )
 
-// AdviceRequest is one question to the advice service.
+// AdviceRequest is one request to the advice service.
 type AdviceRequest struct {
 	Step    job.StepRef
 	Workers []worker.ID
 	step    *stepState
-	asked   []*workerState // the workers' starts that it asks about
+	states  []*workerState // incarnations of the workers that the request is about
 }
 
-// admits reports whether a step may run on a worker as far as its queue's policy
-// goes.
-func (s *stepState) admits(w *workerState, now time.Time) bool {
+// allowedOn reports whether the queue's policy permits a step to run on a worker.
+func (s *stepState) allowedOn(w *workerState, now time.Time) bool {
 	if s.job.queue.Advice == nil {
 		return true
 	}
 	t, has := w.tickets[s.ref]
-	return has && now.Add(askMargin).Before(t.until)
+	return has && now.Add(ticketMargin).Before(t.expiresAt)
 }
 
-// NextAdviceRequest returns the most urgent question, false for none.
+// NextAdviceRequest returns the most urgent request, false for none.
 func (p *Pool) NextAdviceRequest(now time.Time) (AdviceRequest, bool) {
 	var best *stepState
 	for _, j := range p.active {
@@ -59,12 +57,12 @@
 			continue
 		}
 		for _, r := range j.rounds {
-			if r == nil || r.left == 0 {
+			if r == nil || r.openSteps == 0 {
 				continue
 			}
 			for i := range r.steps {
 				s := &r.steps[i]
-				if p.wantsAdvice(r, i, now) && (best == nil || s.job.latest.Before(best.job.latest)) {
+				if p.needsAdvice(r, i, now) && (best == nil || s.job.latestStart.Before(best.job.latestStart)) {
 					best = s
 				}
 			}
@@ -73,41 +71,41 @@
 	if best == nil {
 		return AdviceRequest{}, false
 	}
-	q := AdviceRequest{Step: best.ref, step: best, asked: p.toAsk(best, now)}
-	for _, w := range q.asked {
+	q := AdviceRequest{Step: best.ref, step: best, states: p.adviceCandidates(best, now)}
+	for _, w := range q.states {
 		q.Workers = append(q.Workers, w.info.ID)
 	}
 	if len(q.Workers) == 0 {
-		best.askAfter = now.Add(askAgain)
+		best.adviceRetryAt = now.Add(adviceRetryDelay)
 		return AdviceRequest{}, false
 	}
-	best.asking = true
+	best.advicePending = true
 	return q, true
 }
 
-// wantsAdvice reports whether more workers are to be asked about for a step.
-func (p *Pool) wantsAdvice(r *roundState, step int, now time.Time) bool {
+// needsAdvice reports whether a step needs tickets for more workers.
+func (p *Pool) needsAdvice(r *roundState, step int, now time.Time) bool {
 	s := &r.steps[step]
-	wanted := s.waiting + s.leaving()
-	if s.asking || wanted == 0 || now.Before(s.askAfter) || !p.soon(r, step, now) {
+	wanted := s.waiting + s.evacuatingRuns()
+	if s.advicePending || wanted == 0 || now.Before(s.adviceRetryAt) || !p.dueWithinLead(r, step, now) {
 		return false
 	}
-	seats := 0
+	slots := 0
 	for _, w := range p.workers {
-		if w.open(now) && s.admits(w, now) {
-			seats += s.seats(w)
+		if w.schedulable(now) && s.allowedOn(w, now) {
+			slots += s.slotsOn(w)
 		}
 	}
-	return seats < wanted+spareTickets
+	return slots < wanted+spareTickets
 }
 
-// leaving returns how many tasks of a step that lasts run on workers that are to
-// be left.
-func (s *stepState) leaving() int {
+// evacuatingRuns returns how many tasks of a long-running step run on workers that are being
+// evacuated.
+func (s *stepState) evacuatingRuns() int {
 	n := 0
 	for t := range s.tasks {
 		for _, u := range s.tasks[t].runs {
-			if s.spec.LongRunning && u.at.leaves() {
+			if s.spec.LongRunning && u.worker.evacuating() {
 				n++
 			}
 		}
@@ -115,26 +113,28 @@
 	return n
 }
 
-// seats returns how many tasks of a step a worker has room for, by what is declared.
-func (s *stepState) seats(w *workerState) int {
-	room, n := w.room(), 0
-	for s.spec.Reservation().Times(n+1).FitsIn(room) && n < len(s.tasks) && (s.spec.MaxPerWorker == 0 || n < s.spec.MaxPerWorker-s.perHost[w]) {
+// slotsOn returns how many tasks of a step fit into the free capacity of a worker, by their
+// declared size.
+func (s *stepState) slotsOn(w *workerState) int {
+	free, n := w.free(), 0
+	for s.spec.Reservation().Times(n+1).FitsIn(free) && n < len(s.tasks) && (s.spec.MaxPerWorker == 0 || n < s.spec.MaxPerWorker-s.runsByWorker[w]) {
 		n++
 	}
 	return n
 }
 
-// soon reports whether a step's turn has come or comes before long.
-func (p *Pool) soon(r *roundState, step int, now time.Time) bool {
+// dueWithinLead reports whether a step is runnable, or will be within adviceLead and the decision
+// time of the advice service.
+func (p *Pool) dueWithinLead(r *roundState, step int, now time.Time) bool {
 	for _, a := range r.steps[step].spec.DependsOn {
-		before := &r.steps[a]
-		if before.waiting > 0 {
+		previous := &r.steps[a]
+		if previous.waiting > 0 {
 			return false
 		}
-		for t := range before.tasks {
-			for _, u := range before.tasks[t].runs {
-				left := p.expectStep(before.job, before) - now.Sub(u.began)
-				if u.phase != running || left > askAhead+before.job.queue.Advice.CallTime {
+		for t := range previous.tasks {
+			for _, u := range previous.tasks[t].runs {
+				remaining := p.expectedStepTime(previous.job, previous) - now.Sub(u.startedAt)
+				if u.phase != running || remaining > adviceLead+previous.job.queue.Advice.CallTime {
 					return false
 				}
 			}
@@ -143,26 +143,26 @@
 	return true
 }
 
-// barredEverywhere reports whether the advice service allows a step on none of the workers
-// there are: it waits for another one, of which about as many are allowed as of these.
-func (p *Pool) barredEverywhere(s *stepState, now time.Time) bool {
-	if len(s.barred) == 0 {
+// excludedEverywhere reports whether the advice service permits a step on none of the current
+// workers: it waits for another one, which is permitted about as often as these.
+func (p *Pool) excludedEverywhere(s *stepState, now time.Time) bool {
+	if len(s.excluded) == 0 {
 		return false
 	}
 	for id, w := range p.workers {
-		if w.open(now) && !s.barred[id] {
+		if w.schedulable(now) && !s.excluded[id] {
 			return false
 		}
 	}
 	return true
 }
 
-// toAsk returns the workers to ask about: those that may have room first, without
-// those that are known not to be allowed or that have a ticket.
-func (p *Pool) toAsk(s *stepState, now time.Time) []*workerState {
+// adviceCandidates returns the workers to request tickets for, those with the most slots first,
+// without those that have a ticket or are known to be excluded.
+func (p *Pool) adviceCandidates(s *stepState, now time.Time) []*workerState {
 	var list []*workerState
 	for _, w := range p.workers {
-		if !w.open(now) || s.admits(w, now) || s.barred[w.info.ID] {
+		if !w.schedulable(now) || s.allowedOn(w, now) || s.excluded[w.info.ID] {
 			continue
 		}
 		if s.spec.Label != "" && !w.info.HasLabel(s.spec.Label) {
@@ -171,55 +171,55 @@
 		list = append(list, w)
 	}
 	slices.SortFunc(list, func(a, b *workerState) int {
-		return cmp.Or(cmp.Compare(s.seats(b), s.seats(a)), cmp.Compare(a.info.ID, b.info.ID))
+		return cmp.Or(cmp.Compare(s.slotsOn(b), s.slotsOn(a)), cmp.Compare(a.info.ID, b.info.ID))
 	})
-	return list[:min(askMost, len(list))]
+	return list[:min(maxAdviceWorkers, len(list))]
 }
 
-// HandleAdvice takes the answer to a question.
+// HandleAdvice processes the response to an advice request.
 func (p *Pool) HandleAdvice(q AdviceRequest, tickets []port.Ticket, err error, now time.Time) {
 	s := q.step
-	s.asking = false
+	s.advicePending = false
 	if err != nil {
-		s.askAfter = now.Add(askAgain)
-		p.Logger.Warn().Str("event", "advice").Str("step", q.Step.String()).Int("workers", len(q.Workers)).Err(err).Msg("a question is not answered")
+		s.adviceRetryAt = now.Add(adviceRetryDelay)
+		p.Logger.Warn().Str("event", "advice").Str("step", q.Step.String()).Int("workers", len(q.Workers)).Err(err).Msg("advice request got no response")
 		return
 	}
-	if s.barred == nil {
-		s.barred = make(map[worker.ID]bool)
+	if s.excluded == nil {
+		s.excluded = make(map[worker.ID]bool)
 	}
 	for _, id := range q.Workers {
-		s.barred[id] = true
+		s.excluded[id] = true
 	}
 	valid := s.job.queue.Advice
 	for _, t := range tickets {
-		delete(s.barred, t.Worker)
-		if w := p.workers[t.Worker]; w != nil && valid != nil && slices.Contains(q.asked, w) {
+		delete(s.excluded, t.Worker)
+		if w := p.workers[t.Worker]; w != nil && valid != nil && slices.Contains(q.states, w) {
 			w.tickets[s.ref] = ticket{t.Text, now.Add(valid.TicketValidity)}
 		}
 	}
-	p.moved = true
+	p.needsPlan = true
 	p.Logger.Info().Str("event", "advice").Str("step", q.Step.String()).Int("workers", len(q.Workers)).Int("good", len(tickets)).
-		Msg("the advice service has answered")
+		Msg("advice service responded")
 }
 
-// wakeForAdvice has the pool planned when a question may be asked again.
-func (p *Pool) wakeForAdvice(now time.Time) {
+// scheduleAdvice schedules a plan for when an advice request may be repeated.
+func (p *Pool) scheduleAdvice(now time.Time) {
 	for _, j := range p.active {
 		if j.queue.Advice == nil {
 			continue
 		}
 		for _, r := range j.rounds {
 			for i := 0; r != nil && i < len(r.steps); i++ {
-				p.wakeAt(r.steps[i].askAfter, now)
+				p.schedulePlan(r.steps[i].adviceRetryAt, now)
 			}
 		}
 	}
 }
 
-// dropTickets forgets the tickets of a step that is done.
+// dropTickets removes the tickets of a step that is done.
 func (p *Pool) dropTickets(s *stepState) {
-	if s.barred == nil {
+	if s.excluded == nil {
 		return
 	}
 	for _, w := range p.workers {
--- a/services/scheduler/allowance.go
+++ b/services/scheduler/allowance.go
@@ -17,29 +17,29 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// What a customer may have running over all pools is divided among them: the pool begins
-// what its allowance bears. A run counts from when it is planned until its room is free,
-// whatever has become of its order. The allowances are kept with the pool, so that the next
-// owner has the same; a lower one counts as taken only once it is kept.
+// The quota of a customer over all pools is divided among them: a pool starts what its allowance
+// permits. A run counts from when it is planned until its capacity is free, whatever happens to its
+// order. The allowances are persisted with the pool, so that the next owner has the same; a lowered
+// one counts as accepted only once it is persisted.
 
-// keyAllowances is the key under which the pool's allowances are kept.
+// keyAllowances is the key of the pool's persisted allowances.
 const keyAllowances = "q/"
 
-// allowances is what the pool may have running, and has.
+// allowances is what customers may run in the pool, and what they do run.
 type allowances struct {
-	set       quota.Allowances // that are in force
-	kept      quota.Allowances // the newest in which all that was lowered is kept
-	changed   bool             // since the last batch
-	reducedIn uint64           // batch that carries the newest ones in which something was lowered
-	used      map[string]job.Size
-	lowered   map[string]uint64    // the version of the configuration in which a customer's limit was last seen lowered
-	heldBack  map[string]time.Time // since when tasks of a customer wait for its allowance and none has begun
-	tellAgain map[string]time.Time // when that is logged again
-	waiting   map[string]bool      // customers of whom tasks were found to wait since endWaits
+	current      quota.Allowances // in force
+	persisted    quota.Allowances // the newest whose reductions are all persisted
+	changed      bool             // since the last batch
+	reducedBatch uint64           // batch that carries the newest reduction
+	used         map[string]job.Size
+	loweredIn    map[string]uint64    // version of the configuration in which a customer's limit was last lowered
+	waitingSince map[string]time.Time // since when tasks of a customer wait for its allowance without any starting
+	logAgainAt   map[string]time.Time // earliest time of the next log line about that
+	stillWaiting map[string]bool      // customers with tasks found waiting since the last endWaiting
 }
 
-// count adds to what a customer has running.
-func (a *allowances) count(customer string, size job.Size) {
+// addUse adds to what a customer has running.
+func (a *allowances) addUse(customer string, size job.Size) {
 	if a.used == nil {
 		a.used = make(map[string]job.Size)
 	}
@@ -51,7 +51,7 @@
 	a.used[customer] = sum
 }
 
-// limitOf returns the limit of a customer, the zero one for none. One that has left the
+// limitOf returns the limit of a customer, zero for none. A customer that was removed from the
 // configuration has none.
 func (p *Pool) limitOf(customer string) job.Size {
 	if customer == "" || p.config == nil {
@@ -64,85 +64,87 @@
 	return c.Limit
 }
 
-// lets reports whether a customer's allowance bears one more start, or a gang's together.
-func (p *Pool) lets(customer string, size job.Size) bool {
+// allowsStart reports whether a customer's allowance permits one more start, or that of a gang.
+func (p *Pool) allowsStart(customer string, size job.Size) bool {
 	limit := p.limitOf(customer)
 	if !quota.HasLimit(limit) {
 		return true
 	}
-	return !p.held(customer) && quota.Within(p.allowed.used[customer].Plus(size), p.allowed.set.For(customer, limit), limit)
+	return !p.paused(customer) && quota.Within(p.allowances.used[customer].Plus(size), p.allowances.current.For(customer, limit), limit)
 }
 
-// held reports whether nothing of a customer begins: its limit was lowered, and the pool's
-// allowances were set before.
-func (p *Pool) held(customer string) bool { return p.allowed.lowered[customer] > p.allowed.set.Version }
+// paused reports whether a customer may start nothing: its limit was lowered after the pool's
+// allowances were set.
+func (p *Pool) paused(customer string) bool {
+	return p.allowances.loweredIn[customer] > p.allowances.current.Version
+}
 
-// waitToldEvery is the time between two log lines of one customer whose tasks wait.
-const waitToldEvery = 5 * time.Second
+// waitLogInterval is the time between log lines about one customer's waiting tasks.
+const waitLogInterval = 5 * time.Second
 
-// waitsAtLimit notes that a task waits for its customer's allowance; the first is logged, and
-// one each few seconds after.
-func (p *Pool) waitsAtLimit(j *jobState, size job.Size, now time.Time) {
+// noteWaiting records that a task waits for its customer's allowance; it logs the first one, and
+// one in every waitLogInterval after that.
+func (p *Pool) noteWaiting(j *jobState, size job.Size, now time.Time) {
 	c := j.sub.Customer
-	if p.allowed.heldBack == nil {
-		p.allowed.heldBack, p.allowed.tellAgain, p.allowed.waiting = make(map[string]time.Time), make(map[string]time.Time), make(map[string]bool)
+	if p.allowances.waitingSince == nil {
+		p.allowances.waitingSince, p.allowances.logAgainAt, p.allowances.stillWaiting = make(map[string]time.Time), make(map[string]time.Time), make(map[string]bool)
 	}
-	p.allowed.waiting[c] = true
-	if _, known := p.allowed.heldBack[c]; !known {
-		p.allowed.heldBack[c] = now
+	p.allowances.stillWaiting[c] = true
+	if _, known := p.allowances.waitingSince[c]; !known {
+		p.allowances.waitingSince[c] = now
 	}
-	if again := p.allowed.tellAgain[c]; now.Before(again) {
-		p.wakeAt(again, now)
+	if next := p.allowances.logAgainAt[c]; now.Before(next) {
+		p.schedulePlan(next, now)
 		return
 	}
-	p.allowed.tellAgain[c] = now.Add(waitToldEvery)
-	p.wakeAt(p.allowed.tellAgain[c], now)
-	limit, used := p.limitOf(c), p.allowed.used[c]
-	allowed := p.allowed.set.For(c, limit)
+	p.allowances.logAgainAt[c] = now.Add(waitLogInterval)
+	p.schedulePlan(p.allowances.logAgainAt[c], now)
+	limit, used := p.limitOf(c), p.allowances.used[c]
+	allowed := p.allowances.current.For(c, limit)
 	p.Logger.Info().Str("event", "limit").Str("customer", c).Str("job", string(j.sub.ID)).Int("task_cpu", size.CPU).Int("task_memory_mb", size.MemoryMB).
 		Int("used_cpu", used.CPU).Int("used_memory_mb", used.MemoryMB).Int("allowed_cpu", allowed.CPU).Int("allowed_memory_mb", allowed.MemoryMB).
-		Int("limit_cpu", limit.CPU).Int("limit_memory_mb", limit.MemoryMB).Bool("held", p.held(c)).Uint64("config", p.version()).
-		Dur("waited", now.Sub(p.allowed.heldBack[c])).Uint64("allowances", p.allowed.set.Version).Str("outcome", "waits").Msg("tasks wait for their customer's allowance in this pool")
+		Int("limit_cpu", limit.CPU).Int("limit_memory_mb", limit.MemoryMB).Bool("held", p.paused(c)).Uint64("config", p.configVersion()).
+		Dur("waited", now.Sub(p.allowances.waitingSince[c])).Uint64("allowances", p.allowances.current.Version).Str("outcome", "waits").Msg("tasks wait for their customer's allowance in this pool")
 }
 
-// begins notes that a task of a customer begins: those that wait have waited since then, so
-// that pools take turns in which one task at a time finds room.
-func (a *allowances) begins(customer string, now time.Time) {
-	if _, waits := a.heldBack[customer]; waits {
-		a.heldBack[customer] = now
+// noteStart records that a task of a customer starts: the waiting time of the others counts anew,
+// so that pools take turns if one task at a time fits.
+func (a *allowances) noteStart(customer string, now time.Time) {
+	if _, waits := a.waitingSince[customer]; waits {
+		a.waitingSince[customer] = now
 	}
 }
 
-// atLimitFor returns for how long tasks of a customer have waited for its allowance while none
-// has begun.
-func (p *Pool) atLimitFor(customer string, now time.Time) time.Duration {
-	since, waits := p.allowed.heldBack[customer]
+// waitedAtLimit returns how long tasks of a customer have waited for its allowance without any
+// starting.
+func (p *Pool) waitedAtLimit(customer string, now time.Time) time.Duration {
+	since, waits := p.allowances.waitingSince[customer]
 	if !waits {
 		return 0
 	}
 	return now.Sub(since)
 }
 
-// endWaits ends a plan: it forgets the customers of whom no task was found to wait for an
-// allowance in it.
-func (p *Pool) endWaits(now time.Time) {
-	defer clear(p.allowed.waiting)
-	for c, since := range p.allowed.heldBack {
-		if p.allowed.waiting[c] {
+// endWaiting removes, at the end of a plan, the customers of whom the plan found no task waiting
+// for an allowance.
+func (p *Pool) endWaiting(now time.Time) {
+	defer clear(p.allowances.stillWaiting)
+	for c, since := range p.allowances.waitingSince {
+		if p.allowances.stillWaiting[c] {
 			continue
 		}
-		delete(p.allowed.heldBack, c)
-		delete(p.allowed.tellAgain, c)
+		delete(p.allowances.waitingSince, c)
+		delete(p.allowances.logAgainAt, c)
 		p.Logger.Info().Str("event", "limit").Str("customer", c).Dur("waited", now.Sub(since)).Str("outcome", "begins").
 			Msg("no task waits for its customer's allowance any more")
 	}
 }
 
-// relimit notes the limits that a configuration has lowered. Of what was in force before
-// this owner has read its first one, only the allowances that were kept tell.
-func (p *Pool) relimit(next *config.Config) {
-	if p.allowed.lowered == nil {
-		p.allowed.lowered = make(map[string]uint64)
+// noteLimits records the limits that a configuration lowers. For an owner's first configuration the
+// limits before it are unknown; then only the persisted allowances show what was in force.
+func (p *Pool) noteLimits(next *config.Config) {
+	if p.allowances.loweredIn == nil {
+		p.allowances.loweredIn = make(map[string]uint64)
 	}
 	for i := range next.Customers {
 		c := &next.Customers[i]
@@ -150,54 +152,54 @@
 			continue
 		}
 		if p.config == nil || quota.IsLowered(p.limitOf(c.Name), c.Limit) {
-			p.allowed.lowered[c.Name] = next.Version
+			p.allowances.loweredIn[c.Name] = next.Version
 		}
 	}
-	maps.DeleteFunc(p.allowed.lowered, func(name string, _ uint64) bool { return next.Customer(name) == nil })
+	maps.DeleteFunc(p.allowances.loweredIn, func(name string, _ uint64) bool { return next.Customer(name) == nil })
 }
 
-// keptAllowances notes which allowances are kept as far as they lower something.
-func (p *Pool) keptAllowances() {
-	if p.allowed.reducedIn <= p.committed {
-		p.allowed.kept = p.allowed.set
+// notePersistedAllowances records which allowances are persisted as far as they reduce anything.
+func (p *Pool) notePersistedAllowances() {
+	if p.allowances.reducedBatch <= p.committed {
+		p.allowances.persisted = p.allowances.current
 	}
 }
 
-// QuotaReport returns what the pool tells of its allowances to who has asked.
+// QuotaReport returns the pool's report on its allowances, in response to a request.
 func (p *Pool) QuotaReport(q quota.Query, now time.Time) quota.Report {
-	s := quota.Report{OwnerEpoch: p.Token, ConfigVersion: p.version(), Allowances: p.allowed.kept, Accounts: p.accounts(q, now)}
+	s := quota.Report{OwnerEpoch: p.Token, ConfigVersion: p.configVersion(), Allowances: p.allowances.persisted, Accounts: p.accounts(q, now)}
 	if s.Allowances.Epoch == q.Epoch {
 		s.Allowances.ByCustomer = nil
 	}
 	return s
 }
 
-// SetAllowances takes allowances from the holder of the duty for instances, unless later ones are
-// known. It returns the batch that carries the newest that lower something.
+// SetAllowances applies allowances from the holder of the instances role, unless newer ones are
+// known. It returns the batch that carries the newest reduction.
 func (p *Pool) SetAllowances(a quota.Allowances) uint64 {
-	last := p.allowed.set
+	last := p.allowances.current
 	if !last.OlderThan(a) {
-		return p.allowed.reducedIn
+		return p.allowances.reducedBatch
 	}
-	p.allowed.set, p.allowed.changed, p.moved = a, true, true
+	p.allowances.current, p.allowances.changed, p.needsPlan = a, true, true
 	if p.reduces(last, a) {
-		p.allowed.reducedIn = p.batch
+		p.allowances.reducedBatch = p.batch
 	}
-	p.keptAllowances()
+	p.notePersistedAllowances()
 	p.Logger.Info().Str("event", "allowance").Uint64("epoch", a.Epoch).Uint64("number", a.Revision).Uint64("config", a.Version).Float64("part", a.DefaultFraction).
-		Int("customers", len(a.ByCustomer)).Uint64("batch", p.batch).Str("outcome", "taken").Msg("the pool's allowances have changed")
-	return p.allowed.reducedIn
+		Int("customers", len(a.ByCustomer)).Uint64("batch", p.batch).Str("outcome", "taken").Msg("pool allowances changed")
+	return p.allowances.reducedBatch
 }
 
-// reduces reports whether something is lower in allowances than in earlier ones.
-func (p *Pool) reduces(before, now quota.Allowances) bool {
-	if now.DefaultFraction < before.DefaultFraction {
+// reduces reports whether allowances are lower than earlier ones in any part.
+func (p *Pool) reduces(previous, now quota.Allowances) bool {
+	if now.DefaultFraction < previous.DefaultFraction {
 		return true
 	}
-	for _, of := range []map[string]job.Size{before.ByCustomer, now.ByCustomer} {
+	for _, of := range []map[string]job.Size{previous.ByCustomer, now.ByCustomer} {
 		for c := range of {
 			limit := p.limitOf(c)
-			if !before.For(c, limit).FitsIn(now.For(c, limit)) {
+			if !previous.For(c, limit).FitsIn(now.For(c, limit)) {
 				return true
 			}
 		}
@@ -205,8 +207,8 @@
 	return false
 }
 
-// accounts returns the accounts of the customers that are asked for, that may not begin
-// anything, and that want much of their allowance.
+// accounts returns the accounts of the customers that are requested, that are paused, or that want
+// much of their allowance.
 func (p *Pool) accounts(q quota.Query, now time.Time) map[string]quota.Account {
 	if p.config == nil {
 		return nil
@@ -218,12 +220,12 @@
 		if !quota.HasLimit(c.Limit) {
 			continue
 		}
-		used, waits := p.allowed.used[c.Name], waiting[c.Name]
+		used, waits := p.allowances.used[c.Name], waiting[c.Name]
 		a := quota.Account{
-			Used: quota.MaskUnlimited(used, c.Limit), Demand: quota.MaskUnlimited(used.Plus(waits.all), c.Limit), MinStart: quota.MaskUnlimited(waits.least, c.Limit),
-			WaitTime: p.atLimitFor(c.Name, now), Paused: p.held(c.Name),
+			Used: quota.MaskUnlimited(used, c.Limit), Demand: quota.MaskUnlimited(used.Plus(waits.total), c.Limit), MinStart: quota.MaskUnlimited(waits.smallest, c.Limit),
+			WaitTime: p.waitedAtLimit(c.Name, now), Paused: p.paused(c.Name),
 		}
-		if !a.Paused && !slices.Contains(q.Accounts, c.Name) && quota.Within(a.Demand.Times(quota.ReportFactor), p.allowed.set.For(c.Name, c.Limit), c.Limit) {
+		if !a.Paused && !slices.Contains(q.Accounts, c.Name) && quota.Within(a.Demand.Times(quota.ReportFactor), p.allowances.current.For(c.Name, c.Limit), c.Limit) {
 			continue
 		}
 		if list == nil {
@@ -234,33 +236,33 @@
 	return list
 }
 
-// waits is what waits to begin of a customer.
-type waits struct {
-	all   job.Size
-	least job.Size // that can begin by itself; the zero one for none
+// waitingDemand is the demand of a customer's waiting tasks.
+type waitingDemand struct {
+	total    job.Size
+	smallest job.Size // the smallest demand that can start on its own; zero for none
 }
 
-// add adds tasks of a step.
-func (w *waits) add(s *stepState) {
+// add adds the waiting tasks of a step.
+func (w *waitingDemand) add(s *stepState) {
 	one := s.spec.Size
-	w.all = w.all.Plus(one.Times(s.waiting))
+	w.total = w.total.Plus(one.Times(s.waiting))
 	if s.spec.Gang {
 		one = one.Times(len(s.tasks))
 	}
-	if w.least == (job.Size{}) || one.CPU < w.least.CPU || one.CPU == w.least.CPU && one.MemoryMB < w.least.MemoryMB {
-		w.least = one
+	if w.smallest == (job.Size{}) || one.CPU < w.smallest.CPU || one.CPU == w.smallest.CPU && one.MemoryMB < w.smallest.MemoryMB {
+		w.smallest = one
 	}
 }
 
-// waitingByCustomer returns what waits to begin now of each customer with a limit.
-func (p *Pool) waitingByCustomer(now time.Time) map[string]waits {
-	waiting := make(map[string]waits)
+// waitingByCustomer returns the demand of runnable tasks for each customer with a limit.
+func (p *Pool) waitingByCustomer(now time.Time) map[string]waitingDemand {
+	waiting := make(map[string]waitingDemand)
 	var list []candidate
 	for _, j := range p.active {
 		if !quota.HasLimit(p.limitOf(j.sub.Customer)) {
 			continue
 		}
-		for _, c := range p.stepsOf(j, now, list[:0]) {
+		for _, c := range p.runnableSteps(j, now, list[:0]) {
 			sum := waiting[j.sub.Customer]
 			sum.add(c.step)
 			waiting[j.sub.Customer] = sum
@@ -271,26 +273,26 @@
 
 // allowancesRecord returns the record of the pool's allowances.
 func (p *Pool) allowancesRecord() (port.Record, error) {
-	value, err := codec.Marshal(p.allowed.set)
+	value, err := codec.Marshal(p.allowances.current)
 	return port.Record{Key: keyAllowances, Value: value}, err
 }
 
-// restoreAllowances takes over what an earlier owner has kept of the allowances.
+// restoreAllowances restores the allowances that an earlier owner persisted.
 func (p *Pool) restoreAllowances(records []port.Record) error {
 	for _, r := range records {
 		if r.Key != keyAllowances || len(r.Value) == 0 {
 			continue
 		}
-		if err := codec.Unmarshal(r.Value, &p.allowed.set); err != nil {
+		if err := codec.Unmarshal(r.Value, &p.allowances.current); err != nil {
 			return errors.Annotate(err, "allowances")
 		}
-		p.allowed.kept = p.allowed.set
+		p.allowances.persisted = p.allowances.current
 	}
 	return nil
 }
 
-// ExceedsLimit returns a step of a job that can't be served, since one of its tasks, or a gang of
-// them, is larger than all that its customer may have running; false for none.
+// ExceedsLimit returns a step of a job that cannot be served because one of its tasks, or a gang of
+// them, exceeds its customer's limit; false for none.
 func (p *Pool) ExceedsLimit(s job.Submission) (step int, beyond bool) {
 	if p.Has(s.ID) {
 		return 0, false
--- a/services/scheduler/arrival.go
+++ b/services/scheduler/arrival.go
@@ -10,61 +10,61 @@
 	"github.com/yardbridge/yardbridge/models/job"
 )
 
-// The spans over which the work that comes is averaged.
+// The time constants of the moving averages of arriving work.
 const (
-	// usualSpan is long enough to even out jobs of different size, short enough to
-	// follow a rush.
-	usualSpan = 1500 * time.Millisecond
-	// quickSpan is of the average that shows first that work has begun to rise.
-	quickSpan = usualSpan / 2
+	// slowSpan is long enough to even out jobs of different size, and short enough to follow a
+	// surge.
+	slowSpan = 1500 * time.Millisecond
+	// fastSpan is for the average that is the first to show a rise.
+	fastSpan = slowSpan / 2
 )
 
-// What is expected of work that rises.
+// The parameters of the forecast for rising arrivals.
 const (
-	// surelyRises is by how many standard errors the quick average must be above the
-	// usual one: fewer are seen by chance, where single jobs are large.
-	surelyRises = 3.0
-	// errorShare is the standard error of the difference between the two averages of
-	// steady work, in those of the quick one: work that comes by chance moves both. By
-	// the integral over the squares of their weights it is the root of 1/6.
-	errorShare = 0.41
-	// risesMost bounds what is expected, in times of what comes now: a rush that ends
-	// while it still seems to rise has that much too many instances for some seconds.
-	risesMost = 3.0
+	// riseThreshold is by how many standard errors the fast average must exceed the slow one:
+	// smaller differences occur by chance if single jobs are large.
+	riseThreshold = 3.0
+	// errorFactor is the standard error of the difference between the two averages under steady
+	// load, relative to that of the fast one, since random arrivals move both. By the integral over
+	// the squares of their weights it is the root of 1/6.
+	errorFactor = 0.41
+	// maxGrowth limits the forecast, as a multiple of current arrivals: a surge that ends while it
+	// still seems to rise leaves that many times too many instances for some seconds.
+	maxGrowth = 3.0
 )
 
-// arrivals is how much work comes, as the room that it keeps busy.
+// arrivals measures arriving work as the capacity that it occupies.
 type arrivals struct {
-	usual, quick average
+	slow, fast average
 }
 
-// average is a mean that forgets what came long ago.
+// average is an exponentially decaying average.
 type average struct {
-	cpu          float64 // thousandths of a core, times seconds, over the span
+	cpu          float64 // thousandths of a core times seconds, over the span
 	memory       float64
 	accelerators float64
-	squares      float64 // of what each job has added to cpu, for the standard error
+	squares      float64 // sum of the squares of each job's cpu, for the standard error
 	at           time.Time
 }
 
-// fade forgets what has become old.
-func (a *average) fade(span time.Duration, now time.Time) {
-	keep := math.Exp(-now.Sub(a.at).Seconds() / span.Seconds())
+// decay reduces the weight of older arrivals.
+func (a *average) decay(span time.Duration, now time.Time) {
+	factor := math.Exp(-now.Sub(a.at).Seconds() / span.Seconds())
 	if a.at.IsZero() {
-		keep = 0
+		factor = 0
 	}
-	a.cpu, a.memory, a.accelerators, a.squares = a.cpu*keep, a.memory*keep, a.accelerators*keep, a.squares*keep*keep
+	a.cpu, a.memory, a.accelerators, a.squares = a.cpu*factor, a.memory*factor, a.accelerators*factor, a.squares*factor*factor
 	a.at = now
 }
 
-// add takes the work of tasks of a size.
+// add adds the work of tasks of a size.
 func (a *average) add(size job.Size, seconds float64) {
 	a.cpu += float64(size.CPU) * seconds
 	a.memory += float64(size.MemoryMB) * seconds
 	a.accelerators += float64(size.Accelerators) * seconds
 }
 
-// add takes the work of a job, by its steps.
+// add adds the work of a job, by its steps.
 func (a *arrivals) add(now time.Time, work []stepWork) {
 	cpu := 0.0
 	for _, w := range work {
@@ -73,8 +73,8 @@
 	for _, of := range []struct {
 		mean *average
 		span time.Duration
-	}{{&a.usual, usualSpan}, {&a.quick, quickSpan}} {
-		of.mean.fade(of.span, now)
+	}{{&a.slow, slowSpan}, {&a.fast, fastSpan}} {
+		of.mean.decay(of.span, now)
 		of.mean.squares += cpu * cpu
 		for _, w := range work {
 			of.mean.add(w.size, w.seconds)
@@ -84,41 +84,40 @@
 
 // stepWork is the work of the tasks of a step.
 type stepWork struct {
-	size    job.Size // of all of them
+	size    job.Size // of all tasks
 	seconds float64
 }
 
-// rate returns the room that the work keeps busy while it goes on coming, and where it
-// rises, that it will keep busy once an instance that is asked for now has come. On a
-// straight rise each average lags behind by its span, so that the two tell how steep
-// the rise is.
+// rate returns the capacity that the work occupies while it keeps arriving; if it rises, the
+// capacity that it will occupy once an instance requested now can be used. On a linear rise each
+// average lags behind by its span, so that the two give its slope.
 func (a *arrivals) rate(now time.Time) job.Size {
-	a.usual.fade(usualSpan, now)
-	a.quick.fade(quickSpan, now)
-	return a.usual.room(usualSpan).Scale(a.rise())
+	a.slow.decay(slowSpan, now)
+	a.fast.decay(fastSpan, now)
+	return a.slow.load(slowSpan).Scale(a.growth())
 }
 
-// rise returns how many times what the usual average shows is to be expected.
-func (a *arrivals) rise() float64 {
-	usual, quick := a.usual.cpu/usualSpan.Seconds(), a.quick.cpu/quickSpan.Seconds()
-	errs := errorShare * math.Sqrt(a.quick.squares) / quickSpan.Seconds()
-	if usual <= 0 || quick-usual < surelyRises*errs {
+// growth returns the factor of the forecast over the slow average.
+func (a *arrivals) growth() float64 {
+	slow, fast := a.slow.cpu/slowSpan.Seconds(), a.fast.cpu/fastSpan.Seconds()
+	stdErr := errorFactor * math.Sqrt(a.fast.squares) / fastSpan.Seconds()
+	if slow <= 0 || fast-slow < riseThreshold*stdErr {
 		return 1
 	}
-	slope := (quick - usual) / (usualSpan - quickSpan).Seconds()
-	expected := quick + slope*(quickSpan+addTime).Seconds()
-	return min(expected, risesMost*quick) / usual
+	slope := (fast - slow) / (slowSpan - fastSpan).Seconds()
+	expected := fast + slope*(fastSpan+provisionTime).Seconds()
+	return min(expected, maxGrowth*fast) / slow
 }
 
-// room returns the room that the work keeps busy.
-func (a *average) room(span time.Duration) job.Size {
+// load returns the capacity that the work occupies.
+func (a *average) load(span time.Duration) job.Size {
 	s := span.Seconds()
 	return job.Size{CPU: int(a.cpu / s), MemoryMB: int(a.memory / s), Accelerators: int(a.accelerators / s)}
 }
 
-// arrive takes the work of a job that has come; one with times comes when each
-// of them is due.
-func (p *Pool) arrive(j *jobState, now time.Time) {
+// addArrival adds the work of a job that has arrived; a recurring job is not counted, as its rounds
+// arrive when they are due.
+func (p *Pool) addArrival(j *jobState, now time.Time) {
 	if j.sub.RepeatCount > 0 {
 		return
 	}
@@ -126,7 +125,7 @@
 	for i := range j.sub.Steps {
 		s := &j.sub.Steps[i]
 		if !s.LongRunning && s.Label == "" {
-			work = append(work, stepWork{s.Reservation().Times(s.Count), p.expect(j.sub.Queue, s).Seconds()})
+			work = append(work, stepWork{s.Reservation().Times(s.Count), p.expectedRunTime(j.sub.Queue, s).Seconds()})
 		}
 	}
 	p.arrivals.add(now, work)
--- a/services/scheduler/arrival_test.go
+++ b/services/scheduler/arrival_test.go
@@ -13,24 +13,24 @@
 	"github.com/yardbridge/yardbridge/models/job"
 )
 
-// demand is how many jobs a second come at a time since the beginning.
+// demand is the number of jobs per second at a time since the beginning.
 type demand func(at time.Duration) float64
 
-// The demand of these tests: jobs of a core for a second, on the mean.
+// The demand of these tests: jobs that use a core for a second on average.
 const (
 	demandStep = 5 * time.Millisecond
-	demandLast = 12 * time.Second
+	demandTime = 12 * time.Second
 )
 
-// played hands in jobs by a demand and returns the expected room in cores at each
-// tenth of a second.
-func played(seed uint64, of demand) []float64 {
+// simulate submits jobs by a demand and returns the forecast load in cores at each tenth of a
+// second.
+func simulate(seed uint64, of demand) []float64 {
 	r := rand.New(rand.NewPCG(seed, 1))
-	began := time.Unix(1000, 0)
+	start := time.Unix(1000, 0)
 	var a arrivals
 	var seen []float64
-	for at := time.Duration(0); at < demandLast; at += demandStep {
-		now := began.Add(at)
+	for at := time.Duration(0); at < demandTime; at += demandStep {
+		now := start.Add(at)
 		for range poisson(r, of(at)*demandStep.Seconds()) {
 			a.add(now, []stepWork{{job.Size{CPU: 1000}, r.ExpFloat64()}})
 		}
@@ -41,7 +41,7 @@
 	return seen
 }
 
-// poisson draws how many jobs come where few are expected.
+// poisson draws the number of arrivals for a small expected value.
 func poisson(r *rand.Rand, mean float64) int {
 	n := 0
 	for left := r.ExpFloat64(); left < mean; left += r.ExpFloat64() {
@@ -50,32 +50,32 @@
 	return n
 }
 
-// at returns what was seen at a time.
-func at(seen []float64, when time.Duration) float64 { return seen[when/(100*time.Millisecond)] }
+// valueAt returns the value at a time.
+func valueAt(seen []float64, when time.Duration) float64 { return seen[when/(100*time.Millisecond)] }
 
-// TestRiseIsExpected: demand that rises from a twentieth of its mean to five times the
-// mean within four seconds is met at the time at which an instance that is asked for
-// comes: four fifths of what comes then is expected, where the average alone shows a third.
+// TestRiseIsExpected checks the forecast for demand that rises from a twentieth of its mean to five
+// times the mean within four seconds, for the time at which an instance requested now can be used:
+// it covers four fifths of the demand then, while the average alone shows a third.
 func TestRiseIsExpected(t *testing.T) {
-	rush := func(at time.Duration) float64 { return 2 + 198*min(max((at-4*time.Second).Seconds()/4, 0), 1) }
-	met, plays := 0.0, 0.0
+	surge := func(at time.Duration) float64 { return 2 + 198*min(max((at-4*time.Second).Seconds()/4, 0), 1) }
+	covered, samples := 0.0, 0.0
 	for seed := range uint64(40) {
-		seen := played(seed, rush)
+		seen := simulate(seed, surge)
 		for when := 5500 * time.Millisecond; when < 7*time.Second; when += 100 * time.Millisecond {
-			met += at(seen, when) / rush(min(when+addTime, 8*time.Second))
-			plays++
+			covered += valueAt(seen, when) / surge(min(when+provisionTime, 8*time.Second))
+			samples++
 		}
 	}
-	assert.Assert(t, met/plays > 0.7 && met/plays < 1.25, "%.2f of what comes is expected", met/plays)
+	assert.Assert(t, covered/samples > 0.7 && covered/samples < 1.25, "%.2f of the demand is forecast", covered/samples)
 }
 
-// TestSteadyDemandIsNotExpectedToRise: demand without a pattern costs no more than it
-// did, large jobs that come seldom or small ones that come often.
+// TestSteadyDemandIsNotExpectedToRise checks that demand without a pattern, be it rare large jobs
+// or frequent small ones, gives no higher forecast than its mean.
 func TestSteadyDemandIsNotExpectedToRise(t *testing.T) {
 	for _, perSecond := range []float64{2, 20, 200} {
 		sum, count := 0.0, 0.0
 		for seed := range uint64(40) {
-			for _, cores := range played(seed, func(time.Duration) float64 { return perSecond })[40:] {
+			for _, cores := range simulate(seed, func(time.Duration) float64 { return perSecond })[40:] {
 				sum += cores
 				count++
 			}
@@ -84,16 +84,17 @@
 	}
 }
 
-// TestExpectedRiseEnds: after a rush that ends at once no more is expected than came.
+// TestExpectedRiseEnds checks that the forecast after a surge that ends abruptly does not exceed
+// the demand before.
 func TestExpectedRiseEnds(t *testing.T) {
 	for seed := range uint64(10) {
-		seen := played(seed, func(at time.Duration) float64 {
+		seen := simulate(seed, func(at time.Duration) float64 {
 			if at > 4*time.Second && at < 7*time.Second {
 				return 200
 			}
 			return 10
 		})
-		assert.Assert(t, at(seen, 7500*time.Millisecond) < 250)
-		assert.Assert(t, at(seen, 10*time.Second) < 60)
+		assert.Assert(t, valueAt(seen, 7500*time.Millisecond) < 250)
+		assert.Assert(t, valueAt(seen, 10*time.Second) < 60)
 	}
 }
--- a/services/scheduler/clock_test.go
+++ b/services/scheduler/clock_test.go
@@ -13,45 +13,45 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// TestStartOnASlowClockIsSoonTooLate: a worker without runs is not looked at, so its
-// clock, which may be slow, was read long ago. An order to it that goes out as late as
-// it may must still be refused before work of a cancelled job may not begin any more.
-func TestStartOnASlowClockIsSoonTooLate(t *testing.T) {
+// TestLatestStartOnASlowClock guards against a late start on a worker without runs, which is not
+// polled: its clock may be slow, and was read long ago. An order that is sent as late as possible
+// must still be refused in time for the limit on work of a cancelled job.
+func TestLatestStartOnASlowClock(t *testing.T) {
 	const (
 		idle  = 30 * time.Second
-		bound = 3 * time.Second // the users' bound from a cancelling to the last start
+		bound = 3 * time.Second // the users' limit from a cancellation to the last start
 	)
-	d := newDesk(t, 1)
-	d.serve()
+	d := newTestPool(t, 1)
+	d.registerWorker()
 	read := d.now
 	d.now = read.Add(idle)
 	d.submit("1", 1)
-	d.keep()
-	kept := d.now
+	d.persist()
+	persistedAt := d.now
 	for {
 		order, has := d.NextOrder("w", d.now)
 		if !has {
 			return
 		}
 		deadline := d.StartOrder(order, d.now).Deadline
-		rate := 1 - clockSlack
-		refused := read.Add(time.Duration(float64(deadline-heard.Clock) / rate))
-		assert.Assert(t, refused.Sub(kept) <= bound, "sent %s after it was kept, it may be begun until %s after it", d.now.Sub(kept), refused.Sub(kept))
-		d.order(d.workers["w"], order) // it had waited a little longer
+		rate := 1 - maxClockDrift
+		refused := read.Add(time.Duration(float64(deadline-accepted.Clock) / rate))
+		assert.Assert(t, refused.Sub(persistedAt) <= bound, "sent %s after the run was persisted, it may be started until %s after that", d.now.Sub(persistedAt), refused.Sub(persistedAt))
+		d.queueOrder(d.workers["w"], order) // it had waited a little longer
 		d.now = d.now.Add(100 * time.Millisecond)
 	}
 }
 
-// TestAnAnswerThatWasHeldUpSetsNoClockBack: an answer that was a second on its way
-// tells what the worker's clock showed a second ago.
-func TestAnAnswerThatWasHeldUpSetsNoClockBack(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serve()
+// TestDelayedResponseDoesNotSetTheClockBack guards against a response that was in transit for a
+// second: it shows the worker's clock of a second ago.
+func TestDelayedResponseDoesNotSetTheClockBack(t *testing.T) {
+	d := newTestPool(t, 1)
+	d.registerWorker()
 	d.now = d.now.Add(2 * time.Second)
-	d.look("w", worker.PollResult{}, port.Response{Result: port.Accepted, Clock: heard.Clock + time.Second})
+	d.poll("w", worker.PollResult{}, port.Response{Result: port.Accepted, Clock: accepted.Clock + time.Second})
 	d.submit("1", 1)
-	d.keep()
+	d.persist()
 	order, _ := d.NextOrder("w", d.now)
 	deadline := d.StartOrder(order, d.now).Deadline
-	assert.Assert(t, deadline > heard.Clock+2*time.Second+startTravel/2, "the worker's clock shows at least %s", heard.Clock+1960*time.Millisecond)
+	assert.Assert(t, deadline > accepted.Clock+2*time.Second+startTransit/2, "the worker's clock shows at least %s", accepted.Clock+1960*time.Millisecond)
 }
--- a/services/scheduler/crash.go
+++ b/services/scheduler/crash.go
@@ -12,325 +12,326 @@
 	"github.com/yardbridge/yardbridge/models/worker"
 )
 
-// A worker that crashes takes all its runs along and lists no end of any. One of them
-// may be the cause, and would crash the next worker as well; those beside it are not,
-// and are owed their end. So each task keeps which workers have crashed under it, for
-// whoever owns the pool. A suspect is begun where least is lost with it, apart from
-// other suspects, and nothing is begun beside it until it is seen at work: its second
-// crash then tells it from the others. Its job is given up soon enough that starts which
-// an owner did not hear of have room below the users' bound, two starts after the third
-// crash.
-
-// The bounds of what is held against a task.
+// A worker that crashes ends all its runs without reporting an end for any of them. One of the
+// tasks may be the cause and would crash the next worker as well; the others are not, and must
+// still be completed. So each task keeps the workers that crashed while running it, for any owner
+// of the pool. A suspect is started where the least is lost with it, apart from other suspects, and
+// nothing is started beside it until it has been running for a while: a second crash then tells it
+// apart from the others. Its job is failed early enough that start orders unknown to the current
+// owner still stay within the users' limit, which is two starts after the third crash.
+
+// The limits for crashes attributed to a task.
 const (
-	// crashesLeast is after how many crashes a task is given up at the earliest, as the
-	// users allow.
-	crashesLeast = 2
-	// weightEnough is which weight of these crashes is enough: once with up to nine others
-	// that had just begun as well, and once as the only one that had.
-	weightEnough = 1.1
-	// unseenWeight is what a crash weighs that may have been a cut, against one that is
-	// sure, and what the beginning of a run weighs that was not answered.
-	unseenWeight = 0.5
-	// unknownWeight marks a crash under a run of which it is not known for how long it had been
-	// at work: it was taken over, and its worker has not answered since.
+	// minCrashes is the number of crashes after which a task may be failed at the earliest, as the
+	// users permit.
+	minCrashes = 2
+	// failWeight is the weight of these crashes that suffices: one crash beside up to nine other
+	// starting tasks, and one as the only starting task.
+	failWeight = 1.1
+	// unconfirmedWeight is the factor for a crash that may have been a network failure only, and
+	// for a run whose start order got no response.
+	unconfirmedWeight = 0.5
+	// unknownWeight marks a crash under a run whose running time is not known: it was restored from
+	// an earlier owner's records, and its worker has not responded since.
 	unknownWeight = 0.001
-	// crashesMost is after how many crashes any task is given up.
-	crashesMost = 4
-	// freshTime is until when a run may be what has crashed its worker, rather than one
-	// beside it: a task that does so does it as it starts, in some ten milliseconds where
-	// it was measured. As long must a suspect be seen at work before others are begun
-	// beside it.
-	freshTime = 100 * time.Millisecond
-	// provenTime is how long a task that lasts must be at work to be held to crash no
-	// worker: what crashes later is begun again, as it is owed for a whole day.
-	provenTime = 3 * time.Second
-	// togetherTime is within which time workers that went silent may have a rack, a switch
-	// or a data centre as their one cause, rather than a task each.
-	togetherTime = time.Second
-	// downsKept is how long it may take until all crashes of one moment are known.
-	downsKept = 15 * time.Second
+	// maxCrashes is the number of crashes after which any task is failed.
+	maxCrashes = 4
+	// startupTime is how long after its start a run may be the cause of a crash, rather than one
+	// that ran beside it: a task that crashes its worker does so as it starts, within some ten
+	// milliseconds where it was measured. A suspect must be seen running for as long before others
+	// are started beside it.
+	startupTime = 100 * time.Millisecond
+	// provenAfter is how long a long-running task must run to be cleared: if its worker crashes
+	// later, it is started again, as it has to serve for a whole day.
+	provenAfter = 3 * time.Second
+	// correlationWindow is the time within which workers that become unresponsive may have one
+	// common cause, such as a rack, a switch or a data centre, rather than one task each.
+	correlationWindow = time.Second
+	// crashRetention is how long it may take until all crashes of one moment are known.
+	crashRetention = 15 * time.Second
 )
 
-// crash is a worker that has crashed under a task, as far as is known.
+// crash is a worker that crashed while running a task, as far as is known.
 type crash struct {
-	worker worker.Incarnation
-	weight float64 // how likely the task was the cause, of 1: a share of what had just begun; 0 for one that had not
-	sure   bool    // the instance has another life; else its worker was silent until its leases were over
+	worker    worker.Incarnation
+	weight    float64 // probability of 0 to 1 that the task was the cause: a share among the starting tasks, 0 for a task that had been running
+	confirmed bool    // the instance has another incarnation; otherwise its worker was unresponsive until its leases expired
 }
 
-// fresh reports whether the task had just begun.
-func (c crash) fresh() bool { return c.weight > unknownWeight }
+// duringStartup reports whether the task had just started.
+func (c crash) duringStartup() bool { return c.weight > unknownWeight }
 
-// weigh returns how much all crashes under a task weigh.
-func (t *taskState) weigh() float64 {
+// crashWeight returns the total weight of the crashes attributed to a task.
+func (t *taskState) crashWeight() float64 {
 	sum := 0.0
 	for _, c := range t.crashes {
-		if c.sure {
+		if c.confirmed {
 			sum += c.weight
 		} else {
-			sum += c.weight * unseenWeight
+			sum += c.weight * unconfirmedWeight
 		}
 	}
 	return sum
 }
 
-// lifeEnd is how a worker's life has ended.
-type lifeEnd uint8
+// exitKind is how an incarnation of a worker has ended.
+type exitKind uint8
 
-// The ends of a life.
+// The kinds of exits.
 const (
-	endedByOrder lifeEnd = iota // its instance was moved or maintained
-	endedItself                 // it has left, or crashed
-	endedUnseen                 // it was silent for so long that its leases are over
+	exitOrdered   exitKind = iota // its instance was moved or maintained
+	exitConfirmed                 // it has left or crashed
+	exitAssumed                   // it was unresponsive until its leases expired
 )
 
-// suspect is a task under which a worker may have crashed.
+// suspect is a run whose task may have crashed its worker.
 type suspect struct {
-	run   *run
-	fresh bool
+	run      *run
+	starting bool
 }
 
-// suspects returns the runs that a worker has begun, or may have, at its life's end:
-// none where it has left as planned or was taken down by an order.
-func (p *Pool) suspects(w *workerState, how lifeEnd) []suspect {
-	if how == endedByOrder || w.info.Draining || w.lingers {
+// suspects returns the runs that a worker had started, or may have, when its incarnation ended:
+// none if it left as planned or was taken down by an order.
+func (p *Pool) suspects(w *workerState, kind exitKind) []suspect {
+	if kind == exitOrdered || w.info.Draining || w.answersUnlisted {
 		return nil
 	}
 	var list []suspect
 	for _, u := range w.runs {
-		if u.stray || !u.sent && !u.restored || u.provenBy(w.heardAt) {
+		if u.orphan || !u.sent && !u.restored || u.provenBy(w.lastContact) {
 			continue
 		}
-		list = append(list, suspect{u, u.isFresh(w.heardAt)})
+		list = append(list, suspect{u, u.isStarting(w.lastContact)})
 	}
 	return list
 }
 
-// isFresh reports whether a run had just begun, or may have, when its worker was heard of
-// last. For how long one that was taken over had been at work is not known.
-func (u *run) isFresh(heard time.Time) bool {
-	if u.began.IsZero() {
+// isStarting reports whether a run had just started, or may have, at the last contact with its
+// worker. The running time of a restored run is not known.
+func (u *run) isStarting(lastContact time.Time) bool {
+	if u.startedAt.IsZero() {
 		return !u.restored
 	}
-	return heard.Sub(u.began) < freshTime
+	return lastContact.Sub(u.startedAt) < startupTime
 }
 
-// provenBy reports whether a run of a task that lasts had been at work for so long that
-// it is not held to crash its worker.
+// provenBy reports whether a run of a long-running task had been running long enough to be cleared
+// of crashing its worker.
 func (u *run) provenBy(at time.Time) bool {
-	return u.step().spec.LongRunning && u.percent >= fullPace && !u.began.IsZero() && at.Sub(u.began) >= provenTime
+	return u.step().spec.LongRunning && u.percent >= fullPercent && !u.startedAt.IsZero() && at.Sub(u.startedAt) >= provenAfter
 }
 
-// blame holds a crash against the tasks of a worker, and gives up those that have
-// crashed too many. Their runs are over. Where one under which others have crashed had
-// just begun, those that had been at work are not suspected.
-func (p *Pool) blame(w *workerState, list []suspect, how lifeEnd, now time.Time) {
+// attributeCrash attributes a crash to the tasks of a worker, whose runs are over, and fails those
+// with too many crashes. If a task with earlier crashes had just started, those that had been
+// running are not suspected.
+func (p *Pool) attributeCrash(w *workerState, list []suspect, kind exitKind, now time.Time) {
 	if len(list) == 0 {
 		return
 	}
-	e := event{at: w, sure: how == endedItself, runs: len(list), together: p.downTogether(w, now)}
-	explained := false
+	e := crashEvent{worker: w, confirmed: kind == exitConfirmed, runs: len(list), correlated: p.countCorrelated(w, now)}
+	knownSuspect := false
 	for _, s := range list {
-		if s.fresh {
-			e.fresh++
-			explained = explained || len(s.run.task().crashes) > 0
+		if s.starting {
+			e.starting++
+			knownSuspect = knownSuspect || len(s.run.task().crashes) > 0
 		}
 	}
-	var culprits []*taskState
+	var causes []*taskState
 	for _, s := range list {
-		if explained && !s.fresh {
+		if knownSuspect && !s.starting {
 			continue
 		}
-		if p.hold(s, e, now) && p.convict(s, now) {
-			culprits = append(culprits, s.run.task())
+		if p.recordCrash(s, e, now) && p.failIfCause(s, now) {
+			causes = append(causes, s.run.task())
 		}
 	}
-	for _, t := range culprits {
-		p.explain(t)
+	for _, t := range causes {
+		p.clearOthers(t)
 	}
 }
 
-// event is one crash of a worker.
-type event struct {
-	at       *workerState
-	sure     bool
-	runs     int // that the worker had
-	fresh    int // of them, those that had just begun
-	together int // workers that went silent together
+// crashEvent is one crash of a worker.
+type crashEvent struct {
+	worker     *workerState
+	confirmed  bool
+	runs       int // runs that the worker had
+	starting   int // runs that had just started
+	correlated int // workers that became unresponsive together
 }
 
-// hold holds a crash against a task, and reports whether it did: not for one that is done,
-// or twice.
-func (p *Pool) hold(s suspect, e event, now time.Time) bool {
-	t, j, life := s.run.task(), s.run.job, e.at.life()
-	if j.state.Final() || t.done || t.crashedOn(life) {
+// recordCrash attributes a crash to a task, and reports whether it did: not for a task that is
+// done, nor for a crash that is recorded already.
+func (p *Pool) recordCrash(s suspect, e crashEvent, now time.Time) bool {
+	t, j, incarnation := s.run.task(), s.run.job, e.worker.incarnation()
+	if j.state.Final() || t.done || t.crashedOn(incarnation) {
 		return false
 	}
-	c := crash{worker: life, sure: e.sure}
+	c := crash{worker: incarnation, confirmed: e.confirmed}
 	switch {
-	case s.fresh && s.run.began.IsZero():
-		c.weight = unseenWeight / float64(e.fresh*e.together)
-	case s.fresh:
-		c.weight = 1 / float64(e.fresh*e.together)
-	case s.run.began.IsZero():
+	case s.starting && s.run.startedAt.IsZero():
+		c.weight = unconfirmedWeight / float64(e.starting*e.correlated)
+	case s.starting:
+		c.weight = 1 / float64(e.starting*e.correlated)
+	case s.run.startedAt.IsZero():
 		c.weight = unknownWeight
 	}
 	t.crashes = append(t.crashes, c)
 	t.suspectSince = now
-	p.blamed[life] = append(p.blamed[life], s.run.ref)
-	p.crashesChange(s.run.ref)
-	p.count(crashSuspected)
-	p.Logger.Info().Str("event", "crash").Str("task", s.run.name).Int("run", s.run.number).Str("worker", string(life.ID)).Int64("born", life.StartedAt).
-		Int("crashes", len(t.crashes)).Float64("weight", t.weigh()).Bool("fresh", s.fresh).Int("all_fresh", e.fresh).Int("all", e.runs).
-		Bool("sure", c.sure).Int("together", e.together).Msg("a worker has crashed under a task")
+	p.attributed[incarnation] = append(p.attributed[incarnation], s.run.ref)
+	p.markCrashesChanged(s.run.ref)
+	p.increment(crashSuspected)
+	p.Logger.Info().Str("event", "crash").Str("task", s.run.name).Int("run", s.run.number).Str("worker", string(incarnation.ID)).Int64("born", incarnation.StartedAt).
+		Int("crashes", len(t.crashes)).Float64("weight", t.crashWeight()).Bool("fresh", s.starting).Int("all_fresh", e.starting).Int("all", e.runs).
+		Bool("sure", c.confirmed).Int("together", e.correlated).Msg("worker crashed while running a task")
 	return true
 }
 
-// downTogether notes that a worker has crashed, and returns how many went silent when it
-// did: some have crashed, of others it is not known yet.
-func (p *Pool) downTogether(w *workerState, now time.Time) int {
-	at := w.silent
+// countCorrelated records the crash of a worker, and returns how many workers became unresponsive
+// together with it: some have crashed, others may have.
+func (p *Pool) countCorrelated(w *workerState, now time.Time) int {
+	at := w.unresponsiveSince
 	if at.IsZero() {
 		at = now
 	}
 	n := 1
-	near := func(o time.Time) bool { return o.Sub(at).Abs() < togetherTime }
-	maps.DeleteFunc(p.downs, func(_ worker.Incarnation, o time.Time) bool { return now.Sub(o) > downsKept })
-	for life, o := range p.downs {
-		if life != w.life() && near(o) {
+	near := func(o time.Time) bool { return o.Sub(at).Abs() < correlationWindow }
+	maps.DeleteFunc(p.recentCrashes, func(_ worker.Incarnation, o time.Time) bool { return now.Sub(o) > crashRetention })
+	for incarnation, o := range p.recentCrashes {
+		if incarnation != w.incarnation() && near(o) {
 			n++
 		}
 	}
 	for _, o := range p.workers {
-		if _, counted := p.downs[o.life()]; !counted && o != w && len(o.runs) > 0 && !o.silent.IsZero() && near(o.silent) {
+		if _, counted := p.recentCrashes[o.incarnation()]; !counted && o != w && len(o.runs) > 0 && !o.unresponsiveSince.IsZero() && near(o.unresponsiveSince) {
 			n++
 		}
 	}
-	p.downs[w.life()] = at
+	p.recentCrashes[w.incarnation()] = at
 	return n
 }
 
-// convict gives a task's job up where so many workers have crashed under it that it is
-// held to be their cause, and reports whether it did. A run that may not have begun is not
-// what decides.
-func (p *Pool) convict(s suspect, now time.Time) bool {
+// failIfCause fails the job of a task if enough workers have crashed under the task for it to be
+// considered the cause, and reports whether it did. A run that may not have started does not decide
+// this.
+func (p *Pool) failIfCause(s suspect, now time.Time) bool {
 	t := s.run.task()
 	n := len(t.crashes)
-	if n < crashesMost && (n < crashesLeast || !s.fresh || s.run.began.IsZero() || t.weigh() < weightEnough) {
+	if n < maxCrashes && (n < minCrashes || !s.starting || s.run.startedAt.IsZero() || t.crashWeight() < failWeight) {
 		return false
 	}
-	p.count(crashGivenUp)
-	p.finish(s.run.job, job.Failed, now, "workers have crashed under task "+s.run.name+" as often as is allowed")
+	p.increment(crashGivenUp)
+	p.finishJob(s.run.job, job.Failed, now, "workers crashed under task "+s.run.name+" as often as is allowed")
 	return true
 }
 
-// explain takes the crashes of a task that was given up back from those that had been
-// at work beside it. One that had just begun as well may do the same, and stays suspected.
-func (p *Pool) explain(culprit *taskState) {
-	for _, c := range culprit.crashes {
-		p.takeBack(c.worker, func(o crash) bool { return o.weight == 0 }, "explained")
+// clearOthers clears the tasks that had been running beside a task that was failed for its crashes.
+// One that had also just started may have the same fault and stays a suspect.
+func (p *Pool) clearOthers(cause *taskState) {
+	for _, c := range cause.crashes {
+		p.clearCrashWhere(c.worker, func(o crash) bool { return o.weight == 0 }, "explained")
 	}
 }
 
-// crashedOn reports whether a crash is held against a task.
-func (t *taskState) crashedOn(life worker.Incarnation) bool {
-	return slices.ContainsFunc(t.crashes, func(c crash) bool { return c.worker == life })
+// crashedOn reports whether a crash is attributed to a task.
+func (t *taskState) crashedOn(incarnation worker.Incarnation) bool {
+	return slices.ContainsFunc(t.crashes, func(c crash) bool { return c.worker == incarnation })
 }
 
-// suspected reports whether a task may crash the worker that it is begun on.
+// suspected reports whether a task may crash the worker that it is started on.
 func (t *taskState) suspected() bool {
-	return len(t.crashes) >= crashesLeast || slices.ContainsFunc(t.crashes, crash.fresh)
+	return len(t.crashes) >= minCrashes || slices.ContainsFunc(t.crashes, crash.duringStartup)
 }
 
-// acquit takes a worker's crash back: it has answered, so it was only cut off.
-func (p *Pool) acquit(life worker.Incarnation) {
-	p.takeBack(life, func(crash) bool { return true }, "its worker answers")
-	delete(p.blamed, life)
+// clearCrash withdraws the crash of a worker: the worker responds, so it was only cut off.
+func (p *Pool) clearCrash(incarnation worker.Incarnation) {
+	p.clearCrashWhere(incarnation, func(crash) bool { return true }, "its worker responds")
+	delete(p.attributed, incarnation)
 }
 
-// takeBack takes a worker's crash back from the tasks it is held against, where allowed.
-func (p *Pool) takeBack(life worker.Incarnation, allowed func(crash) bool, why string) {
-	for _, ref := range p.blamed[life] {
-		p.takeBackOf(life, ref, allowed, why)
+// clearCrashWhere withdraws a worker's crash from the tasks it is attributed to, where matches
+// returns true.
+func (p *Pool) clearCrashWhere(incarnation worker.Incarnation, matches func(crash) bool, reason string) {
+	for _, ref := range p.attributed[incarnation] {
+		p.clearCrashOf(incarnation, ref, matches, reason)
 	}
 }
 
-// takeBackOf takes a worker's crash back from one task, where it is held against that and allowed.
-func (p *Pool) takeBackOf(life worker.Incarnation, ref job.TaskRef, allowed func(crash) bool, why string) {
-	_, t := p.open(ref)
+// clearCrashOf withdraws a worker's crash from one task if it is attributed to it and matches
+// returns true.
+func (p *Pool) clearCrashOf(incarnation worker.Incarnation, ref job.TaskRef, matches func(crash) bool, reason string) {
+	_, t := p.openTask(ref)
 	if t == nil {
 		return
 	}
 	before := len(t.crashes)
-	t.crashes = slices.DeleteFunc(t.crashes, func(c crash) bool { return c.worker == life && allowed(c) })
+	t.crashes = slices.DeleteFunc(t.crashes, func(c crash) bool { return c.worker == incarnation && matches(c) })
 	if len(t.crashes) == before {
 		return
 	}
-	p.crashesChange(ref)
-	p.Logger.Info().Str("event", "crash").Str("task", ref.String()).Str("worker", string(life.ID)).Int64("born", life.StartedAt).Int("crashes", len(t.crashes)).
-		Str("outcome", "taken back").Str("why", why).Msg("a crash is not held against a task any more")
+	p.markCrashesChanged(ref)
+	p.Logger.Info().Str("event", "crash").Str("task", ref.String()).Str("worker", string(incarnation.ID)).Int64("born", incarnation.StartedAt).Int("crashes", len(t.crashes)).
+		Str("outcome", "taken back").Str("why", reason).Msg("crash no longer attributed to a task")
 }
 
-// confirm takes the news that a worker which was silent until its leases were over has
-// crashed: its instance has another life, or it has started again.
-func (p *Pool) confirm(life worker.Incarnation) {
-	for _, ref := range p.blamed[life] {
-		_, t := p.open(ref)
+// confirmCrash records that a worker which was unresponsive until its leases expired has crashed:
+// its instance has another incarnation, or it has restarted.
+func (p *Pool) confirmCrash(incarnation worker.Incarnation) {
+	for _, ref := range p.attributed[incarnation] {
+		_, t := p.openTask(ref)
 		if t == nil {
 			continue
 		}
 		for i := range t.crashes {
-			if t.crashes[i].worker == life {
-				t.crashes[i].sure = true
+			if t.crashes[i].worker == incarnation {
+				t.crashes[i].confirmed = true
 			}
 		}
-		p.crashesChange(ref)
+		p.markCrashesChanged(ref)
 	}
 }
 
-// crashesChange marks what is held against a task as changed.
-func (p *Pool) crashesChange(ref job.TaskRef) {
+// markCrashesChanged marks the crashes attributed to a task as changed.
+func (p *Pool) markCrashesChanged(ref job.TaskRef) {
 	j := p.jobs[ref.Job]
 	j.crashesChanged = true
-	p.touch(j)
+	p.markDirty(j)
 }
 
-// prove forgets the crashes under a task that lasts once it has been at work for long.
-func (p *Pool) prove(u *run, now time.Time) {
+// clearIfProven removes the crashes from a long-running task once it has been running long enough.
+func (p *Pool) clearIfProven(u *run, now time.Time) {
 	t := u.task()
 	if len(t.crashes) == 0 || !u.provenBy(now) {
 		return
 	}
 	t.crashes = nil
-	p.crashesChange(u.ref)
-	p.Logger.Info().Str("event", "crash").Str("task", u.name).Int("run", u.number).Str("worker", string(u.at.info.ID)).
-		Str("outcome", "proven").Msg("a task is at work for so long that it is not held to crash its worker")
+	p.markCrashesChanged(u.ref)
+	p.Logger.Info().Str("event", "crash").Str("task", u.name).Int("run", u.number).Str("worker", string(u.worker.info.ID)).
+		Str("outcome", "proven").Msg("task has been running long enough to be cleared of crashing its worker")
 }
 
-// forgetBlame drops what is kept for acquittals of jobs that have ended.
-func (p *Pool) forgetBlame() {
-	for id, refs := range p.blamed {
+// pruneAttributed drops the attributed crashes of ended jobs and finished tasks.
+func (p *Pool) pruneAttributed() {
+	for id, refs := range p.attributed {
 		refs = slices.DeleteFunc(refs, func(ref job.TaskRef) bool {
-			_, t := p.open(ref)
+			_, t := p.openTask(ref)
 			return t == nil || t.done
 		})
-		if p.blamed[id] = refs; len(refs) == 0 {
-			delete(p.blamed, id)
+		if p.attributed[id] = refs; len(refs) == 0 {
+			delete(p.attributed, id)
 		}
 	}
 }
 
 // The counters of a pool.
 const (
-	crashSuspected = "crash.suspected" // a crash was held against a task
-	crashGivenUp   = "crash.given-up"  // a job was given up for one
+	crashSuspected = "crash.suspected" // a crash was attributed to a task
+	crashGivenUp   = "crash.given-up"  // a job was failed for its crashes
 
-	workerRestarted = "worker.restarted" // a worker has started again under its id
+	workerRestarted = "worker.restarted" // a worker has restarted under the same ID
 )
 
-// count adds one to a counter.
-func (p *Pool) count(counter string) {
+// increment adds one to a counter.
+func (p *Pool) increment(counter string) {
 	if p.Increment != nil {
 		p.Increment(counter)
 	}
--- a/services/scheduler/crash_test.go
+++ b/services/scheduler/crash_test.go
@@ -15,88 +15,88 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// otherLife is the answer of a later life of an instance.
-var otherLife = port.Response{Result: port.OtherIncarnation}
+// otherIncarnation is the response of a later incarnation of an instance.
+var otherIncarnation = port.Response{Result: port.OtherIncarnation}
 
-// life lists a fresh life of an instance and has it answer a look.
-func (d *desk) life(instance string, n int) worker.ID {
+// addIncarnation lists a new incarnation of an instance and has it respond to a poll.
+func (d *testPool) addIncarnation(instance string, n int) worker.ID {
 	d.t.Helper()
 	id := worker.ID(fmt.Sprintf("%s-%d", instance, n))
 	d.UpdateWorker(worker.Worker{ID: id, Instance: instance, Pool: "p", Address: instance, Capacity: job.Size{CPU: 4000, MemoryMB: 4000}})
-	d.look(id, worker.PollResult{}, heard)
+	d.poll(id, worker.PollResult{}, accepted)
 	return id
 }
 
-// beginAll keeps what is planned and has every order to a worker taken; it returns what was
-// begun there.
-func (d *desk) beginAll(id worker.ID) []string {
+// startAll persists what is planned and has every order to a worker accepted; it returns the tasks
+// started there.
+func (d *testPool) startAll(id worker.ID) []string {
 	d.t.Helper()
-	d.keep()
-	var begun []string
+	d.persist()
+	var started []string
 	for {
 		order, has := d.NextOrder(id, d.now)
 		if !has {
-			return begun
+			return started
 		}
-		if order.starts() {
+		if order.isStart() {
 			d.StartOrder(order, d.now)
-			begun = append(begun, order.Run.name)
+			started = append(started, order.Run.name)
 		}
-		d.HandleOrderResponse(order, heard, d.now)
+		d.HandleOrderResponse(order, accepted, d.now)
 	}
 }
 
-// crash has a worker answered for by a later life of its instance, some seconds later.
-func (d *desk) crash(id worker.ID) {
+// crash has a later incarnation of its instance respond for a worker, some seconds later.
+func (d *testPool) crash(id worker.ID) {
 	d.t.Helper()
 	d.now = d.now.Add(3 * time.Second)
-	d.look(id, worker.PollResult{}, otherLife)
+	d.poll(id, worker.PollResult{}, otherIncarnation)
 }
 
-// cutOff has a worker silent until its leases are over.
-func (d *desk) cutOff(id worker.ID) {
+// disconnect has a worker unresponsive until its leases expire.
+func (d *testPool) disconnect(id worker.ID) {
 	d.t.Helper()
-	d.look(id, worker.PollResult{}, port.Response{Result: port.Unknown})
+	d.poll(id, worker.PollResult{}, port.Response{Result: port.Unknown})
 	d.now = d.now.Add(10 * time.Second)
 	d.ExpireLeases(d.now)
 }
 
-// state keeps what has changed and returns what a caller is told.
-func (d *desk) state(id job.ID) job.State {
+// persistedState persists what has changed and returns the state that a caller sees.
+func (d *testPool) persistedState(id job.ID) job.State {
 	d.t.Helper()
-	d.keep()
-	d.keep()
+	d.persist()
+	d.persist()
 	state, _ := d.State(id)
 	return state
 }
 
-// TestATaskThatCrashesItsWorkersIsGivenUp: a task under which two workers have crashed as
-// it began, the second time alone, is begun no third time, and its job is told as failed.
-func TestATaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
-	d := newDesk(t, 1)
+// TestTaskThatCrashesItsWorkersFails: a task under which two workers crashed as it started, the
+// second time alone, is not started a third time, and its job is reported as failed.
+func TestTaskThatCrashesItsWorkersFails(t *testing.T) {
+	d := newTestPool(t, 1)
 	d.submit("1", 1)
 	for n := range 2 {
-		id := d.life("a", n)
-		assert.DeepEqual(t, d.beginAll(id), []string{"1.0.0.0"})
+		id := d.addIncarnation("a", n)
+		assert.DeepEqual(t, d.startAll(id), []string{"1.0.0.0"})
 		d.crash(id)
 	}
-	assert.Equal(t, d.state("1"), job.Failed)
-	assert.Equal(t, len(d.beginAll(d.life("a", 2))), 0)
+	assert.Equal(t, d.persistedState("1"), job.Failed)
+	assert.Equal(t, len(d.startAll(d.addIncarnation("a", 2))), 0)
 }
 
-// TestCrashesOutliveTheirOwner: the second crash is seen by a node that has taken the pool
-// over since the first, and by another one that takes it over before that is kept.
-func TestCrashesOutliveTheirOwner(t *testing.T) {
-	first := newDesk(t, 1)
+// TestCrashesSurviveAnOwnerChange: the second crash is noticed by a node that has taken over the
+// pool since the first one, and by another one that takes it over before that is persisted.
+func TestCrashesSurviveAnOwnerChange(t *testing.T) {
+	first := newTestPool(t, 1)
 	first.submit("1", 1)
 	records := map[string]port.Record{}
-	keep := func(d *desk) {
-		for _, r := range d.keep() {
+	persist := func(d *testPool) {
+		for _, r := range d.persist() {
 			records[r.Key] = r
 		}
 	}
-	restored := func(token uint64) *desk {
-		d := newDesk(t, token)
+	restored := func(token uint64) *testPool {
+		d := newTestPool(t, token)
 		var list []port.Record
 		for _, r := range records {
 			list = append(list, r)
@@ -104,40 +104,40 @@
 		assert.NilError(t, d.Restore(list, d.now, time.Minute))
 		return d
 	}
-	keep(first)
-	a := first.life("a", 1)
-	keep(first)
-	first.beginAll(a)
+	persist(first)
+	a := first.addIncarnation("a", 1)
+	persist(first)
+	first.startAll(a)
 	first.crash(a)
-	keep(first)
+	persist(first)
 	second := restored(2)
-	b := second.life("b", 1)
-	keep(second)
-	assert.DeepEqual(t, second.beginAll(b), []string{"1.0.0.0"})
+	b := second.addIncarnation("b", 1)
+	persist(second)
+	assert.DeepEqual(t, second.startAll(b), []string{"1.0.0.0"})
 	third := restored(3)
 	second.crash(b)
-	assert.Equal(t, second.state("1"), job.Failed)
-	third.crash(b) // that the run has ended is not in its records
-	third.keep()
+	assert.Equal(t, second.persistedState("1"), job.Failed)
+	third.crash(b) // its records do not show that the run has ended
+	third.persist()
 	assert.Equal(t, len(third.firstTask("1").crashes), 2)
 }
 
-// TestAJobThatIsOverHoldsNoCrashes: what was held against its tasks is dropped.
-func TestAJobThatIsOverHoldsNoCrashes(t *testing.T) {
-	d := newDesk(t, 1)
+// TestFinishedJobKeepsNoCrashes: the crashes attributed to the tasks of a finished job are removed.
+func TestFinishedJobKeepsNoCrashes(t *testing.T) {
+	d := newTestPool(t, 1)
 	d.submit("1", 1)
-	a := d.life("a", 1)
-	d.beginAll(a)
+	a := d.addIncarnation("a", 1)
+	d.startAll(a)
 	d.crash(a)
-	assert.Assert(t, has(d.keep(), keyCrashes+"1", true))
+	assert.Assert(t, hasRecord(d.persist(), keyCrashes+"1", true))
 	_, err := d.Cancel("1", d.now)
 	assert.NilError(t, err)
-	assert.Assert(t, has(d.keep(), keyCrashes+"1", false))
-	assert.Equal(t, len(d.blamed), 0)
+	assert.Assert(t, hasRecord(d.persist(), keyCrashes+"1", false))
+	assert.Equal(t, len(d.attributed), 0)
 }
 
-// has reports whether a record with a key, and with a value or without, is among others.
-func has(records []port.Record, key string, value bool) bool {
+// hasRecord reports whether records contain one with a key, with or without a value.
+func hasRecord(records []port.Record, key string, value bool) bool {
 	for _, r := range records {
 		if r.Key == key && (len(r.Value) > 0) == value {
 			return true
@@ -146,36 +146,36 @@
 	return false
 }
 
-// TestWhatIsNoCrash: a worker that is only cut off, one that was taken down by an order,
-// one that drains and one that leaves without saying so end the runs of a task as often as
-// they may, and it is begun again.
-func TestWhatIsNoCrash(t *testing.T) {
-	ends := map[string]func(d *desk, id worker.ID){
-		"cut off": func(d *desk, id worker.ID) {
-			d.cutOff(id)
-			d.look(id, worker.PollResult{}, heard)
-			d.EndIncarnations([]worker.Incarnation{{ID: id}}, d.now) // so that the next turn is another's
+// TestExitsThatAreNoCrashes: a worker that is only cut off, one that is taken down by an order, one
+// that drains and one that leaves unannounced may end the runs of a task any number of times, and
+// it is started again.
+func TestExitsThatAreNoCrashes(t *testing.T) {
+	ends := map[string]func(d *testPool, id worker.ID){
+		"cut off": func(d *testPool, id worker.ID) {
+			d.disconnect(id)
+			d.poll(id, worker.PollResult{}, accepted)
+			d.EndIncarnations([]worker.Incarnation{{ID: id}}, d.now) // so that the next iteration gets another one
 		},
-		"order": func(d *desk, id worker.ID) { d.EndIncarnations([]worker.Incarnation{{ID: id}}, d.now) },
-		"drains": func(d *desk, id worker.ID) {
+		"order": func(d *testPool, id worker.ID) { d.EndIncarnations([]worker.Incarnation{{ID: id}}, d.now) },
+		"drains": func(d *testPool, id worker.ID) {
 			leaving, _ := d.Worker(id)
 			leaving.Draining = true
 			d.UpdateWorker(leaving)
 			d.crash(id)
 		},
-		"leaves": func(d *desk, id worker.ID) {
+		"leaves": func(d *testPool, id worker.ID) {
 			d.UnlistWorker(id)
-			d.look(id, worker.PollResult{Runs: []worker.Run{{Task: "1.0.0.0", Number: d.firstTask("1").number}}}, heard)
+			d.poll(id, worker.PollResult{Runs: []worker.Run{{Task: "1.0.0.0", Number: d.firstTask("1").number}}}, accepted)
 			d.crash(id)
 		},
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
-			d := newDesk(t, 1)
+			d := newTestPool(t, 1)
 			d.submit("1", 1)
-			for n := range 2 * crashesMost {
-				id := d.life("a", n)
-				assert.DeepEqual(t, d.beginAll(id), []string{"1.0.0.0"})
+			for n := range 2 * maxCrashes {
+				id := d.addIncarnation("a", n)
+				assert.DeepEqual(t, d.startAll(id), []string{"1.0.0.0"})
 				end(d, id)
 			}
 			assert.Equal(t, len(d.firstTask("1").crashes), 0)
@@ -183,116 +183,116 @@
 	}
 }
 
-// TestACrashCountsOnce: a worker is silent until its leases are over, and then its
-// instance has another life.
-func TestACrashCountsOnce(t *testing.T) {
-	d := newDesk(t, 1)
+// TestCrashCountsOnce: a worker is unresponsive until its leases expire, and then its instance has
+// another incarnation.
+func TestCrashCountsOnce(t *testing.T) {
+	d := newTestPool(t, 1)
 	d.submit("1", 1)
-	a := d.life("a", 1)
-	d.beginAll(a)
-	d.cutOff(a)
+	a := d.addIncarnation("a", 1)
+	d.startAll(a)
+	d.disconnect(a)
 	crashes := func() []crash { return d.firstTask("1").crashes }
 	assert.Equal(t, len(crashes()), 1)
-	assert.Equal(t, crashes()[0].sure, false)
-	d.look(a, worker.PollResult{}, otherLife)
+	assert.Equal(t, crashes()[0].confirmed, false)
+	d.poll(a, worker.PollResult{}, otherIncarnation)
 	assert.Equal(t, len(crashes()), 1)
-	assert.Equal(t, crashes()[0].sure, true)
+	assert.Equal(t, crashes()[0].confirmed, true)
 }
 
-// TestSuspectsAreToldApart: of four tasks on a worker that crashes one is the cause. They
-// are begun on workers of their own, and the others are done, though a second crash comes.
-func TestSuspectsAreToldApart(t *testing.T) {
-	d := newDesk(t, 1)
+// TestSuspectsAreSeparated: one of four tasks on a worker that crashes is the cause. They are
+// started on separate workers, and the others finish even if there is a second crash.
+func TestSuspectsAreSeparated(t *testing.T) {
+	d := newTestPool(t, 1)
 	d.submit("1", 4)
-	a := d.life("a", 1)
-	assert.Equal(t, len(d.beginAll(a)), 4)
+	a := d.addIncarnation("a", 1)
+	assert.Equal(t, len(d.startAll(a)), 4)
 	d.crash(a)
-	begun := make(map[string]worker.ID)
+	started := make(map[string]worker.ID)
 	for n := range 4 {
-		id := d.life(fmt.Sprintf("b%d", n), 1)
-		for _, name := range d.beginAll(id) {
-			begun[name] = id
+		id := d.addIncarnation(fmt.Sprintf("b%d", n), 1)
+		for _, name := range d.startAll(id) {
+			started[name] = id
 		}
 	}
 	where := make(map[worker.ID]int)
-	for _, id := range begun {
+	for _, id := range started {
 		where[id]++
 	}
-	assert.Equal(t, len(begun), 4)
-	assert.Equal(t, len(where), 4, "suspects share a worker: %v", begun)
+	assert.Equal(t, len(started), 4)
+	assert.Equal(t, len(where), 4, "suspects share a worker: %v", started)
 	d.submit("2", 1)
-	d.keep()
-	assert.Equal(t, d.waitingTasks("2"), 1, "a task is begun beside a suspect that was not seen at work")
-	d.now = d.now.Add(2 * freshTime)
+	d.persist()
+	assert.Equal(t, d.waitingTasks("2"), 1, "a task is started beside a suspect that was not seen running")
+	d.now = d.now.Add(2 * startupTime)
 	for id := range where {
 		name := ""
-		for task, at := range begun {
+		for task, at := range started {
 			if at == id {
 				name = task
 			}
 		}
-		d.look(id, worker.PollResult{Runs: []worker.Run{{Task: name, Number: 2}}}, heard)
+		d.poll(id, worker.PollResult{Runs: []worker.Run{{Task: name, Number: 2}}}, accepted)
 	}
-	d.moved = true
-	d.keep()
+	d.needsPlan = true
+	d.persist()
 	assert.Equal(t, d.waitingTasks("2"), 0)
 }
 
-// TestWhatServesOnAsAJobFails: a job with tasks that last fails for one of them. The
-// others serve their users, and none of them may be ended beside the one that is away,
-// until its caller cancels it.
-func TestWhatServesOnAsAJobFails(t *testing.T) {
-	d := newDesk(t, 1)
+// TestServingTasksOfAFailedJob: a job with long-running tasks fails because of one of them. The
+// others serve users, and none of them may be stopped beside the one that is unavailable until the
+// caller cancels the job.
+func TestServingTasksOfAFailedJob(t *testing.T) {
+	d := newTestPool(t, 1)
 	d.Submit(job.Submission{ID: "1", Queue: "h/q/", Steps: []job.Step{{Count: 2, Size: job.Size{CPU: 1000}, LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 1}}}, d.now)
-	a := d.life("a", 1)
-	d.beginAll(a)
-	d.look(a, worker.PollResult{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1, Percent: fullPace}}}, heard)
+	a := d.addIncarnation("a", 1)
+	d.startAll(a)
+	d.poll(a, worker.PollResult{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1, Percent: fullPercent}}}, accepted)
 	for n := range 2 {
-		b := d.life("b", n)
-		assert.DeepEqual(t, d.beginAll(b), []string{"1.0.0.1"})
+		b := d.addIncarnation("b", n)
+		assert.DeepEqual(t, d.startAll(b), []string{"1.0.0.1"})
 		d.crash(b)
 	}
-	assert.Equal(t, d.state("1"), job.Failed)
-	_, stops := d.orders(a)
-	assert.Equal(t, stops, 0, "a task that serves is stopped")
+	assert.Equal(t, d.persistedState("1"), job.Failed)
+	_, stops := d.takeOrders(a)
+	assert.Equal(t, stops, 0, "a serving task is stopped")
 	_, err := d.Cancel("1", d.now)
 	assert.NilError(t, err)
-	d.keep()
-	_, stops = d.orders(a)
-	assert.Equal(t, stops, 1, "a task of a cancelled job goes on")
+	d.persist()
+	_, stops = d.takeOrders(a)
+	assert.Equal(t, stops, 1, "a task of a cancelled job continues")
 }
 
-// TestAFailedJobIsForgotten: what served on is stopped once the job is told of no longer,
-// also where a stop is said to take no time, and the job is forgotten once it has ended.
-func TestAFailedJobIsForgotten(t *testing.T) {
-	d := newDesk(t, 1)
+// TestFailedJobIsForgotten: serving tasks of a failed job are stopped when its retention is over,
+// even if the configured stop time is zero, and the job is forgotten once they have ended.
+func TestFailedJobIsForgotten(t *testing.T) {
+	d := newTestPool(t, 1)
 	d.Limits.StopTime = 0
 	d.Submit(job.Submission{ID: "1", Queue: "h/q/", Steps: []job.Step{{Count: 1, Size: job.Size{CPU: 1000}, LongRunning: true, MaxUnavailable: 1}}}, d.now)
-	a := d.life("a", 1)
-	d.beginAll(a)
-	d.finish(d.jobs["1"], job.Failed, d.now, "test")
+	a := d.addIncarnation("a", 1)
+	d.startAll(a)
+	d.finishJob(d.jobs["1"], job.Failed, d.now, "test")
 	d.now = d.now.Add(testLimits.Retention)
-	d.keep()
-	_, stops := d.orders(a)
+	d.persist()
+	_, stops := d.takeOrders(a)
 	assert.Equal(t, stops, 1)
-	d.look(a, worker.PollResult{Ends: []worker.EndedRun{{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: worker.Stopped}}}, heard)
+	d.poll(a, worker.PollResult{Ends: []worker.EndedRun{{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: worker.Stopped}}}, accepted)
 	d.now = d.now.Add(time.Second)
-	d.keep()
+	d.persist()
 	assert.Equal(t, d.Has("1"), false)
 }
 
-// TestAStartThatALaterLifeAnswersIsNoCrash: many workers are gone in one moment, which nobody has
-// seen yet, and a task whose worker was among them is placed on one after the other of them. Each
-// time a later life of the instance answers the order, or the one beside it: the run has never
-// begun, so no crash is held against its task, and its job is not given up. Seen on a bench day as
-// LOST, a job told as failed after one crash that it was beside and three orders that reached
-// nobody; its log has the three starts answered by other lives.
-func TestAStartThatALaterLifeAnswersIsNoCrash(t *testing.T) {
-	d := newDesk(t, 1)
+// TestStartForAnotherIncarnationIsNoCrash guards against LOST: many workers exit at one moment,
+// unnoticed yet, and a task of one of them is placed on one after the other of them. Each time a
+// later incarnation of the instance responds to the start order, or to the one beside it: the run
+// never started, so no crash is attributed to its task, and its job does not fail. On a benchmark
+// day, a job was reported as failed after one crash under another task and three orders that
+// reached nobody; the log shows that other incarnations responded to the three starts.
+func TestStartForAnotherIncarnationIsNoCrash(t *testing.T) {
+	d := newTestPool(t, 1)
 	d.submit("1", 2)
-	for n := range 2 * crashesMost {
-		id := d.life("a", n)
-		d.keep()
+	for n := range 2 * maxCrashes {
+		id := d.addIncarnation("a", n)
+		d.persist()
 		var orders []Order
 		for {
 			o, has := d.NextOrder(id, d.now)
@@ -304,84 +304,85 @@
 		}
 		assert.Equal(t, len(orders), 2)
 		for _, o := range orders {
-			d.HandleOrderResponse(o, otherLife, d.now)
+			d.HandleOrderResponse(o, otherIncarnation, d.now)
 		}
 		for _, o := range orders {
-			assert.Equal(t, len(o.Run.task().crashes), 0, "life %d", n)
+			assert.Equal(t, len(o.Run.task().crashes), 0, "incarnation %d", n)
 		}
 	}
-	assert.Equal(t, d.state("1"), job.Queued)
+	assert.Equal(t, d.persistedState("1"), job.Queued)
 }
 
-// TestAStartThatGotNoAnswerMayBeACrash: a start whose first order got no answer may have begun,
-// whatever answers the second.
-func TestAStartThatGotNoAnswerMayBeACrash(t *testing.T) {
-	d := newDesk(t, 1)
+// TestStartWithoutResponseMayBeACrash: a run whose first start order got no response may have
+// started, whatever the response to the second one is.
+func TestStartWithoutResponseMayBeACrash(t *testing.T) {
+	d := newTestPool(t, 1)
 	d.submit("1", 1)
-	id := d.life("a", 1)
-	d.keep()
+	id := d.addIncarnation("a", 1)
+	d.persist()
 	o, _ := d.NextOrder(id, d.now)
 	d.StartOrder(o, d.now)
 	assert.Assert(t, d.HandleOrderResponse(o, port.Response{Result: port.Unknown}, d.now))
-	d.HandleOrderResponse(o, otherLife, d.now)
+	d.HandleOrderResponse(o, otherIncarnation, d.now)
 	assert.Equal(t, len(o.Run.task().crashes), 1)
 }
 
-// TestACrashThatMayBeATasksOwnIsNotExplained guards against BUDGET: a task that had been taken over
-// when its worker crashed may be the cause, though another under which that worker crashed is
-// given up.
-func TestACrashThatMayBeATasksOwnIsNotExplained(t *testing.T) {
-	d := newDesk(t, 1)
+// TestPossibleCauseIsNotCleared guards against BUDGET: a task that had been restored when its
+// worker crashed may be the cause, even though another task under which that worker crashed is
+// failed.
+func TestPossibleCauseIsNotCleared(t *testing.T) {
+	d := newTestPool(t, 1)
 	d.submit("1", 1)
 	d.submit("2", 1)
-	a := d.life("a", 1)
-	d.beginAll(a)
+	a := d.addIncarnation("a", 1)
+	d.startAll(a)
 	for _, u := range d.workers[a].runs {
-		u.restored, u.began = true, time.Time{}
+		u.restored, u.startedAt = true, time.Time{}
 	}
 	d.crash(a)
-	for n := 1; d.state("2") != job.Failed && n < 2*crashesMost; n++ {
-		b := d.life("b", n)
-		d.keep()
-		d.beginAll(b)
+	for n := 1; d.persistedState("2") != job.Failed && n < 2*maxCrashes; n++ {
+		b := d.addIncarnation("b", n)
+		d.persist()
+		d.startAll(b)
 		if d.workers[b].runs["1.0.0.0"] != nil {
-			d.lose(d.workers[b].runs["1.0.0.0"], d.now, "test")
+			d.loseRun(d.workers[b].runs["1.0.0.0"], d.now, "test")
 		}
 		d.crash(b)
 	}
-	assert.Equal(t, d.state("2"), job.Failed)
+	assert.Equal(t, d.persistedState("2"), job.Failed)
 	assert.Equal(t, len(d.firstTask("1").crashes), 1)
 }
 
-// TestARunThatMayNotHaveBegunConvictsNobody guards against LOST: a job that could be done is told
-// as failed since a worker crashed under its task and another did before it had taken the start.
-func TestARunThatMayNotHaveBegunConvictsNobody(t *testing.T) {
-	d := newDesk(t, 1)
+// TestRunThatMayNotHaveStartedDecidesNothing guards against LOST: a job that could finish is
+// reported as failed because a worker crashed under its task and another one crashed before it had
+// accepted the start.
+func TestRunThatMayNotHaveStartedDecidesNothing(t *testing.T) {
+	d := newTestPool(t, 1)
 	d.submit("1", 1)
-	a := d.life("a", 1)
-	d.beginAll(a)
+	a := d.addIncarnation("a", 1)
+	d.startAll(a)
 	d.crash(a)
-	b := d.life("b", 1)
-	d.keep()
+	b := d.addIncarnation("b", 1)
+	d.persist()
 	o, _ := d.NextOrder(b, d.now)
 	d.StartOrder(o, d.now)
 	assert.Assert(t, d.HandleOrderResponse(o, port.Response{Result: port.Unknown}, d.now))
 	d.crash(b)
 	assert.Equal(t, len(d.firstTask("1").crashes), 2)
-	assert.Equal(t, d.state("1"), job.Running)
+	assert.Equal(t, d.persistedState("1"), job.Running)
 }
 
-// TestASuspectIsBegunOnAnotherWorker guards against a task that is given up since one worker
-// crashes again and again: it is begun elsewhere where there is room.
-func TestASuspectIsBegunOnAnotherWorker(t *testing.T) {
-	d := newDesk(t, 1)
+// TestSuspectStartsOnAnotherWorker guards against a task that is failed because one worker crashes
+// repeatedly: it is started elsewhere if there is capacity.
+func TestSuspectStartsOnAnotherWorker(t *testing.T) {
+	d := newTestPool(t, 1)
 	d.submit("1", 1)
-	d.serveAs(1000)
-	d.beginAll("w")
-	d.answer(2000)
-	x := d.life("x", 1)
+	d.registerStart(1000)
+	d.startAll("w")
+	d.confirmStart(2000)
+	x := d.addIncarnation("x", 1)
 	d.now = d.now.Add(time.Second)
-	d.look("w", worker.PollResult{StartedAt: 2000}, heard)
-	d.keep()
-	assert.Equal(t, d.firstTask("1").runs[0].at.info.ID, x)
+	d.poll("w", worker.PollResult{StartedAt: 2000}, accepted)
+	d.persist()
+	assert.Equal(t, d.firstTask("1").runs[0].worker.info.ID, x)
 }
--- a/services/scheduler/leave_test.go
+++ b/services/scheduler/evacuate_test.go
@@ -14,106 +14,106 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// lastingOnTwo returns a desk at which two tasks that last, of which one may be away,
-// are at work on the workers "a" and "b", and "c" is free.
-func lastingOnTwo(t *testing.T) *desk {
-	d := newDesk(t, 1)
+// newTestPoolWithLongRunning returns a pool in which two long-running tasks, one of which may be
+// unavailable, run on the workers "a" and "b", while "c" is free.
+func newTestPoolWithLongRunning(t *testing.T) *testPool {
+	d := newTestPool(t, 1)
 	for _, id := range []worker.ID{"a", "b", "c"} {
 		d.UpdateWorker(worker.Worker{ID: id, Instance: string(id), Pool: "p", Address: string(id), Capacity: job.Size{CPU: 1000, MemoryMB: 4000}})
-		d.look(id, worker.PollResult{}, heard)
+		d.poll(id, worker.PollResult{}, accepted)
 	}
 	d.Submit(job.Submission{ID: "1", Queue: "h/q/", Steps: []job.Step{
 		{Count: 2, Size: job.Size{CPU: 1000}, Estimate: time.Minute, LongRunning: true, MaxUnavailable: 1},
 	}}, d.now)
-	d.keep()
+	d.persist()
 	for _, id := range []worker.ID{"a", "b", "c"} {
-		d.atWork(id)
+		d.reportRunning(id)
 	}
 	return d
 }
 
-// atWork gives the starts of a worker and lets what runs there be at work.
-func (d *desk) atWork(id worker.ID) {
+// reportRunning sends the starts of a worker and has it list its runs as serving.
+func (d *testPool) reportRunning(id worker.ID) {
 	d.t.Helper()
-	d.begin(id)
+	d.startOrders(id)
 	var listing worker.PollResult
 	for name, u := range d.workers[id].runs {
-		listing.Runs = append(listing.Runs, worker.Run{Task: name, Number: u.number, Percent: fullPace})
+		listing.Runs = append(listing.Runs, worker.Run{Task: name, Number: u.number, Percent: fullPercent})
 	}
-	d.look(id, listing, heard)
+	d.poll(id, listing, accepted)
 }
 
-// onA returns the run on the worker "a", and the worker of the other task.
-func (d *desk) onA() (*run, worker.ID) {
+// runOnA returns the run on the worker "a", and the worker of the other task.
+func (d *testPool) runOnA() (*run, worker.ID) {
 	var here *run
 	var other worker.ID
 	for _, u := range d.jobs["1"].runs() {
-		if u.at.info.ID == "a" {
+		if u.worker.info.ID == "a" {
 			here = u
 			continue
 		}
-		other = u.at.info.ID
+		other = u.worker.info.ID
 	}
 	return here, other
 }
 
-// TestAStopForAMoveWaitsWhileAnotherTaskIsAway: a task that lasts is to leave its
-// worker, and the order to stop it got no answer. Meanwhile the worker of the other task
-// says that it drains, so that this one has to go. The first must not be ended beside
-// it: its stop goes out again once the other is at work.
-func TestAStopForAMoveWaitsWhileAnotherTaskIsAway(t *testing.T) {
-	d := lastingOnTwo(t)
-	u, other := d.onA()
+// TestStopForAMoveWaitsWhileAnotherTaskIsUnavailable: a long-running task is to leave its worker,
+// and the order to stop it got no response. Meanwhile the worker of the other task announces that
+// it drains, so that this task has to stop. The first one must not stop at the same time: its stop
+// is sent again once the other one is serving.
+func TestStopForAMoveWaitsWhileAnotherTaskIsUnavailable(t *testing.T) {
+	d := newTestPoolWithLongRunning(t)
+	u, other := d.runOnA()
 	if u == nil {
 		t.Fatal("no task was placed on the worker a")
 	}
 	cordon(d, CordonRequest{Workers: []CordonedWorker{{ID: "a"}}})
-	d.keep()
+	d.persist()
 	order, has := d.NextOrder("a", d.now)
 	assert.Assert(t, has && order.Stop)
 	assert.Assert(t, d.HandleOrderResponse(order, port.Response{Result: port.Unknown}, d.now))
 	d.Retry(order, d.now)
 
-	leaving := d.workers[other].info
-	leaving.Draining = true
-	d.UpdateWorker(leaving)
-	d.keep()
+	draining := d.workers[other].info
+	draining.Draining = true
+	d.UpdateWorker(draining)
+	d.persist()
 	_, has = d.NextOrder("a", d.now)
-	assert.Assert(t, !has, "a task is stopped for a move while another of its step goes")
+	assert.Assert(t, !has, "a task is stopped for a move while another one of its step is stopped")
 
 	order, has = d.NextOrder(other, d.now)
 	assert.Assert(t, has && order.Stop)
-	d.HandleOrderResponse(order, heard, d.now)
+	d.HandleOrderResponse(order, accepted, d.now)
 	ended := worker.PollResult{Ends: []worker.EndedRun{{Sequence: 1, Task: order.Run.name, Number: 1, Reason: worker.Stopped}}}
-	d.look(other, ended, heard)
-	d.keep()
+	d.poll(other, ended, accepted)
+	d.persist()
 	_, has = d.NextOrder("a", d.now)
-	assert.Assert(t, !has, "a task is stopped for a move while another of its step is away")
+	assert.Assert(t, !has, "a task is stopped for a move while another one of its step is unavailable")
 	for _, id := range []worker.ID{"b", "c"} {
 		if id != other {
-			d.atWork(id)
+			d.reportRunning(id)
 		}
 	}
 	order, has = d.NextOrder("a", d.now)
 	assert.Assert(t, has && order.Stop, "the stop is forgotten")
 }
 
-// TestAStopOfACancelledJobWaitsForNothing: the same, and the job is cancelled.
-func TestAStopOfACancelledJobWaitsForNothing(t *testing.T) {
-	d := lastingOnTwo(t)
-	_, other := d.onA()
+// TestStopOfACancelledJobDoesNotWait: as before, but the job is cancelled.
+func TestStopOfACancelledJobDoesNotWait(t *testing.T) {
+	d := newTestPoolWithLongRunning(t)
+	_, other := d.runOnA()
 	cordon(d, CordonRequest{Workers: []CordonedWorker{{ID: "a"}}})
-	d.keep()
+	d.persist()
 	order, _ := d.NextOrder("a", d.now)
 	d.HandleOrderResponse(order, port.Response{Result: port.Unknown}, d.now)
 	d.Retry(order, d.now)
-	leaving := d.workers[other].info
-	leaving.Draining = true
-	d.UpdateWorker(leaving)
-	d.keep()
+	draining := d.workers[other].info
+	draining.Draining = true
+	d.UpdateWorker(draining)
+	d.persist()
 	_, err := d.Cancel("1", d.now)
 	assert.NilError(t, err)
-	d.keep()
+	d.persist()
 	order, has := d.NextOrder("a", d.now)
 	assert.Assert(t, has && order.Stop)
 }
--- a/services/scheduler/expect.go
+++ b/services/scheduler/expect.go
@@ -10,40 +10,40 @@
 	"github.com/yardbridge/yardbridge/models/job"
 )
 
-// mean is the mean of what was seen lately.
+// mean is a moving mean of recent values.
 type mean struct {
 	value float64
 	count int
 }
 
-// meanWeight is the least weight of a new value: high enough to follow a change
-// within a handful of runs.
-const meanWeight = 0.15
+// minMeanWeight is the minimum weight of a new value: high enough to follow a change within a
+// handful of runs.
+const minMeanWeight = 0.15
 
-// add takes one more value.
+// add adds a value.
 func (m *mean) add(v float64) {
 	m.count++
-	m.value += (v - m.value) * math.Max(1/float64(m.count), meanWeight)
+	m.value += (v - m.value) * math.Max(1/float64(m.count), minMeanWeight)
 }
 
-// trend is a line through the logarithms of estimates and run times. Callers'
-// estimates are off by a factor that differs from job to job, so that a far
-// estimate tells less than how long the queue's tasks usually run.
-type trend struct {
+// regression is a linear regression of the logarithms of run times on those of estimates. Callers'
+// estimates are off by a factor that differs from job to job, so that an extreme estimate says less
+// than the typical run time of the queue's tasks.
+type regression struct {
 	count      float64
 	x, y       float64 // means
-	xx, xy, yy float64 // sums of products of the distances from the means
+	xx, xy, yy float64 // sums of products of the deviations from the means
 }
 
-// What is taken for granted about a line before it is measured.
+// The prior of a regression.
 const (
 	priorSlope  = 0.5
-	priorWeight = 4.0 // observations that the slope is worth
+	priorWeight = 4.0 // observations that the prior slope counts for
 	priorSpread = 0.3 // variance of a logarithm about the line
 )
 
-// add takes one more pair.
-func (t *trend) add(x, y float64) {
+// add adds a pair of values.
+func (t *regression) add(x, y float64) {
 	t.count++
 	dx, dy := x-t.x, y-t.y
 	t.x += dx / t.count
@@ -53,9 +53,8 @@
 	t.xy += dx * (y - t.y)
 }
 
-// at returns the mean run time for an estimate, both as logarithms of seconds
-// but for the mean, which is in seconds.
-func (t *trend) at(x float64) float64 {
+// at returns the mean run time, in seconds, for the logarithm of an estimate in seconds.
+func (t *regression) at(x float64) float64 {
 	if t.count == 0 {
 		return math.Exp(x)
 	}
@@ -64,14 +63,14 @@
 	return math.Exp(t.y + slope*(x-t.x) + spread/2)
 }
 
-// expect returns how long a task of a step of a queue is expected to run,
-// restoring aside: by its image where that is known, else by its estimate and
-// what run times of the queue have been to estimates.
-func (p *Pool) expect(queue string, s *job.Step) time.Duration {
-	if m := p.images[s.Image]; s.Image != "" && m != nil {
+// expectedRunTime returns how long a task of a step is expected to run, without restoring a
+// checkpoint: the mean of its image if that is known, otherwise by its estimate and how run times
+// of the queue relate to estimates.
+func (p *Pool) expectedRunTime(queue string, s *job.Step) time.Duration {
+	if m := p.runTimesByImage[s.Image]; s.Image != "" && m != nil {
 		return seconds(m.value)
 	}
-	t := p.times[queue]
+	t := p.runTimesByQueue[queue]
 	if t == nil || s.Estimate <= 0 {
 		return s.Estimate
 	}
@@ -80,37 +79,37 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// sameStep is how many tasks of a step tell how long its others run: they differ
-// by a tenth or two.
-const sameStep = 1
+// stepSamples is how many finished tasks of a step suffice to predict the others: their run times
+// differ by a tenth or two.
+const stepSamples = 1
 
-// expectStep returns the same for a step under way, some tasks of which may be
+// expectedStepTime returns the expected run time for a step in progress, some tasks of which may be
 // done.
-func (p *Pool) expectStep(j *jobState, s *stepState) time.Duration {
-	if s.took.count >= sameStep {
-		return seconds(s.took.value)
+func (p *Pool) expectedStepTime(j *jobState, s *stepState) time.Duration {
+	if s.runTimes.count >= stepSamples {
+		return seconds(s.runTimes.value)
 	}
-	return p.expect(j.sub.Queue, s.spec)
+	return p.expectedRunTime(j.sub.Queue, s.spec)
 }
 
-// learn takes the run time of a task that has ended as done.
-func (p *Pool) learn(j *jobState, s *stepState, took time.Duration) {
-	s.took.add(took.Seconds())
+// recordRunTime records the run time of a task that is done.
+func (p *Pool) recordRunTime(j *jobState, s *stepState, took time.Duration) {
+	s.runTimes.add(took.Seconds())
 	if s.spec.Image != "" {
-		m := p.images[s.spec.Image]
+		m := p.runTimesByImage[s.spec.Image]
 		if m == nil {
 			m = &mean{}
-			p.images[s.spec.Image] = m
+			p.runTimesByImage[s.spec.Image] = m
 		}
 		m.add(took.Seconds())
 	}
-	if s.spec.Estimate <= 0 || took <= 0 || s.took.count > 1 {
-		return // tasks of a step are alike, so that one of them tells what the others do
+	if s.spec.Estimate <= 0 || took <= 0 || s.runTimes.count > 1 {
+		return // tasks of a step are alike, so one of them is enough
 	}
-	t := p.times[j.sub.Queue]
+	t := p.runTimesByQueue[j.sub.Queue]
 	if t == nil {
-		t = &trend{}
-		p.times[j.sub.Queue] = t
+		t = &regression{}
+		p.runTimesByQueue[j.sub.Queue] = t
 	}
 	t.add(math.Log(s.spec.Estimate.Seconds()), math.Log(took.Seconds()))
 }
--- a/services/scheduler/expiry.go
+++ b/services/scheduler/expiry.go
@@ -8,90 +8,88 @@
 	"time"
 )
 
-// An order to begin a run rests on what was known when the run was kept: its job is
-// wanted, its worker stays, this node owns the pool. The bounds below keep it from
-// going out, or from being carried out, when that may no longer hold: together they
-// stay under the users' 3 s for work of a cancelled job. The first leaves four tries
-// to a worker that answers half of its orders; with 1 s and two to three tries such
-// days served 0.01 to 0.05 less (trials, four seeds a site).
+// A start order is based on what was known when its run was persisted: its job is wanted, its
+// worker stays, and this node owns the pool. These limits prevent it from being sent or carried out
+// when that may no longer hold; together they stay below the users' limit of 3 s for starting work
+// of a cancelled job. The first one permits four tries for a worker that responds to half of its
+// orders; with 1 s, which is two to three tries, such days served 0.01 to 0.05 less (trials, four
+// seeds a site).
 const (
-	startFresh  = 1600 * time.Millisecond // from when a run is kept until its order may go out last
-	startTravel = 1200 * time.Millisecond // from when an order goes out until its worker refuses it: a fresh channel (0.7 s) and the answer (0.4 s)
+	maxStartAge  = 1600 * time.Millisecond // from persisting a run to the last time at which its order may be sent
+	startTransit = 1200 * time.Millisecond // from sending an order until its worker refuses it: a new connection (0.7 s) and the response (0.4 s)
 )
 
-// leastFresh is what of startFresh is left at the least; a worker that has been idle
-// for a minute is down to it.
-const leastFresh = 400 * time.Millisecond
+// minStartWindow is the lower limit of what clock drift leaves of maxStartAge; it applies to a
+// worker that has been idle for a minute.
+const minStartWindow = 400 * time.Millisecond
 
-// fresh returns for how long after the run was kept its order may go out. A worker's
-// clock may have fallen behind since it was heard of, by which its refusal is late.
-func (u *run) fresh(now time.Time) time.Duration {
-	behind := time.Duration(clockSlack * float64(now.Sub(u.at.clockAt)))
-	return max(startFresh-behind, leastFresh)
+// startWindow returns for how long after the run was persisted its order may be sent. The worker's
+// clock may have fallen behind since the last contact, which delays its refusal.
+func (u *run) startWindow(now time.Time) time.Duration {
+	drift := time.Duration(maxClockDrift * float64(now.Sub(u.worker.clockAt)))
+	return max(maxStartAge-drift, minStartWindow)
 }
 
-// whyWithheld returns why a run is not to be begun any more, "" where it may be. A
-// worker that is to be emptied by our own wish stays until it is empty, so a gang,
-// which begins as a whole, may still begin there.
-func whyWithheld(u *run, now time.Time) string {
+// withholdReason returns why a run must not be started any more, "" if it may be. A cordoned worker
+// stays until it is empty, so a gang, which starts as a whole, may still start there.
+func withholdReason(u *run, now time.Time) string {
 	switch {
-	case now.Sub(u.kept) > u.fresh(now):
+	case now.Sub(u.persistedAt) > u.startWindow(now):
 		return "its order has waited too long"
-	case u.at.info.Draining, u.at.cordoned && !u.step().spec.Gang:
-		return "its worker is to be left"
-	case !u.ticket.until.IsZero() && !now.Before(u.ticket.until):
-		return "its ticket has run out"
-	case u.at.overfull():
-		return "its worker's room has shrunk"
+	case u.worker.info.Draining, u.worker.cordoned && !u.step().spec.Gang:
+		return "its worker is being evacuated"
+	case !u.ticket.expiresAt.IsZero() && !now.Before(u.ticket.expiresAt):
+		return "its ticket has expired"
+	case u.worker.overcommitted():
+		return "the capacity of its worker has shrunk"
 	}
 	return ""
 }
 
-// withhold gives up an order to begin a run that is not to go out any more.
+// withhold abandons a start order that must not be sent any more.
 func (p *Pool) withhold(o Order, now time.Time) {
-	if !o.starts() || !o.Valid() {
+	if !o.isStart() || !o.Valid() {
 		return
 	}
 	u := o.Run
-	why := whyWithheld(u, now)
-	if why == "" {
+	reason := withholdReason(u, now)
+	if reason == "" {
 		return
 	}
-	p.Logger.Info().Str("event", "withheld").Str("task", u.name).Int("run", u.number).Str("worker", string(u.at.info.ID)).
-		Dur("kept_for", now.Sub(u.kept)).Int("tries", u.tries).Str("why", why).Msg("an order to begin a run does not go out")
-	p.giveUp(u, now, why)
+	p.Logger.Info().Str("event", "withheld").Str("task", u.name).Int("run", u.number).Str("worker", string(u.worker.info.ID)).
+		Dur("kept_for", now.Sub(u.persistedAt)).Int("tries", u.sendCount).Str("why", reason).Msg("start order withheld")
+	p.abandon(u, now, reason)
 }
 
-// giveUp ends a run that is not to begin, and with it its gang: the task of one that
-// was never sent waits again, one that may be carried out yet is stopped.
-func (p *Pool) giveUp(u *run, now time.Time, why string) {
+// abandon ends a run that is not to start, and with it its gang: if no order was sent, the task
+// waits again; otherwise the run is stopped, as its order may still be carried out.
+func (p *Pool) abandon(u *run, now time.Time, reason string) {
 	if u.sent || u.restored {
-		p.stop(u, now, why)
+		p.stopRun(u, now, reason)
 	} else {
 		p.release(u)
 	}
-	p.breakGang(u, now, why)
+	p.abandonGang(u, now, reason)
 }
 
-// breakGang gives up the other members of the gang of a run that does not begin: they
-// would wait for it in vain.
-func (p *Pool) breakGang(u *run, now time.Time, why string) {
+// abandonGang abandons the other members of the gang of a run that does not start: they would wait
+// for it forever.
+func (p *Pool) abandonGang(u *run, now time.Time, reason string) {
 	if !u.inGang() {
 		return
 	}
-	for _, o := range u.members() {
-		if o != u && !o.stopping && o.phase != over {
-			p.giveUp(o, now, "a member of its gang does not begin: "+why)
+	for _, o := range u.gangMembers() {
+		if o != u && !o.stopping && o.phase != finished {
+			p.abandon(o, now, "a member of its gang does not start: "+reason)
 		}
 	}
 }
 
 // inGang reports whether a run works only together with others.
-func (u *run) inGang() bool { return !u.stray && u.step().spec.Gang }
+func (u *run) inGang() bool { return !u.orphan && u.step().spec.Gang }
 
-// members returns the runs under way that began together with a run of a gang, itself
-// included.
-func (u *run) members() []*run {
+// gangMembers returns the active runs that started together with a run of a gang, including itself.
+func (u *run) gangMembers() []*run {
 	var list []*run
 	for _, t := range u.step().tasks {
 		for _, o := range t.runs {
@@ -103,65 +101,65 @@
 	return list
 }
 
-// worksTogether reports whether the gang of a run has been seen at work: the platform ends
-// its members with the first that ends. One that was not waits for a member whose worker
-// has crashed until it ends alone, if it is not stopped.
-func (u *run) worksTogether() bool {
-	return !u.inGang() || slices.ContainsFunc(u.members(), func(o *run) bool { return o.percent > 0 })
+// gangActive reports whether the gang of a run has been seen working: the platform then ends all its
+// members with the first one that ends. Otherwise the members would wait for one whose worker has
+// crashed until they fail alone, unless they are stopped.
+func (u *run) gangActive() bool {
+	return !u.inGang() || slices.ContainsFunc(u.gangMembers(), func(o *run) bool { return o.percent > 0 })
 }
 
-// stallTime is after which time a gang has come to a stand that was at work when the worker
-// of one of its members went silent. Those that go on are not held up by a silence which
-// only this node meets; the others end alone after 3 s on the users' platform.
-const stallTime = 700 * time.Millisecond
+// gangStallTime is the time without progress after which a gang counts as stalled, if the worker of
+// one of its members became unresponsive. A gang that makes progress is not affected by a network
+// failure that only this node sees; the members of a stalled one fail alone after 3 s on the users'
+// platform.
+const gangStallTime = 700 * time.Millisecond
 
-// breakStalled gives up the gangs of a silent worker's runs that have come to a stand.
-func (p *Pool) breakStalled(w *workerState, now time.Time) {
-	if now.Sub(w.silent) < stallTime {
-		p.wakeAt(w.silent.Add(stallTime), now)
+// abandonStalledGangs abandons the stalled gangs with members on an unresponsive worker.
+func (p *Pool) abandonStalledGangs(w *workerState, now time.Time) {
+	if now.Sub(w.unresponsiveSince) < gangStallTime {
+		p.schedulePlan(w.unresponsiveSince.Add(gangStallTime), now)
 		return
 	}
 	for _, u := range w.runs {
 		if !u.inGang() {
 			continue
 		}
-		if u.advances(now) {
-			p.wakeAt(now.Add(stallTime), now)
+		if u.gangAdvances(now) {
+			p.schedulePlan(now.Add(gangStallTime), now)
 			continue
 		}
-		p.breakGang(u, now, "a member's worker does not answer, and it stands still")
+		p.abandonGang(u, now, "a member's worker does not respond, and the gang has stalled")
 	}
 }
 
-// advances reports whether another member of a run's gang has done some work of late.
-func (u *run) advances(now time.Time) bool {
-	return slices.ContainsFunc(u.members(), func(o *run) bool { return o != u && now.Sub(o.moved) < stallTime })
+// gangAdvances reports whether another member of a run's gang has made progress recently.
+func (u *run) gangAdvances(now time.Time) bool {
+	return slices.ContainsFunc(u.gangMembers(), func(o *run) bool { return o != u && now.Sub(o.progressedAt) < gangStallTime })
 }
 
-// withholdAll gives up the orders that wait and are not to go out any more.
+// withholdAll abandons the queued start orders that must not be sent any more.
 func (p *Pool) withholdAll(now time.Time) {
 	for _, w := range p.workers {
-		for _, o := range w.out {
+		for _, o := range w.orders {
 			p.withhold(o, now)
-			if o.starts() && o.Valid() {
-				p.wakeAt(o.Run.kept.Add(o.Run.fresh(now)+time.Millisecond), now)
+			if o.isStart() && o.Valid() {
+				p.schedulePlan(o.Run.persistedAt.Add(o.Run.startWindow(now)+time.Millisecond), now)
 			}
 		}
 	}
 }
 
-// mustWait reports whether an order to stop a task that lasts must wait, though an
-// earlier try of it may be carried out yet: since the stop was decided so many others of
-// its step have gone away that it may not be ended beside them. Its worker stays, and
-// looks at it ask again.
+// mustWait reports whether an order to stop a long-running task must wait, though an earlier try of
+// it may still be carried out: since the stop was decided, so many other tasks of its step have
+// become unavailable that this one must keep running. Its worker stays, and polls check again.
 func (o Order) mustWait() bool {
 	u := o.Run
-	if !o.Stop || u.stray || u.job.state.Final() || u.at.info.Draining {
+	if !o.Stop || u.orphan || u.job.state.Final() || u.worker.info.Draining {
 		return false
 	}
 	s := u.step()
-	if !s.spec.LongRunning || u.phase != running || u.percent < fullPace {
+	if !s.spec.LongRunning || u.phase != running || u.percent < fullPercent {
 		return false
 	}
-	return s.away(u.task()) >= max(s.spec.MaxUnavailable, 1)
+	return s.unavailable(u.task()) >= max(s.spec.MaxUnavailable, 1)
 }
--- a/services/scheduler/fair.go
+++ b/services/scheduler/fair.go
@@ -10,47 +10,48 @@
 	"github.com/yardbridge/yardbridge/models/job"
 )
 
-// When not all that waits finds room, a customer that uses less of the pool than its share
-// comes before the others, whatever is urgent of theirs; beside that urgency decides. What a
-// customer uses is what it uses of the resource that it uses most of (its dominant share).
-// With five customers of one share, one of whom hands in a hundred times its own, all jobs of
-// the others are in time; ordered by share within each urgency, 0.85 are, since what is about
-// to be of no use came first, and by urgency alone 0.73 (TestFloodTakesNothingFromOthers).
+// When the capacity does not suffice for all waiting tasks, customers that use less of the pool
+// than their share come before the others, however urgent the work of those is; among each group,
+// urgency decides. The use of a customer is that of its dominant resource, the one of which it uses
+// the largest share. With five customers of equal shares, one of whom submits a hundred times its
+// own, all jobs of the others are in time; ordered by share within each urgency, 0.85 of them are,
+// since work that was about to lose its value came first, and by urgency alone 0.73
+// (TestFloodTakesNothingFromOthers).
 
-// useSpan is the span over which what a customer uses is averaged: jobs come one by one, and
-// each takes more than its customer's share while it runs.
-const useSpan = 2 * time.Second
+// usageSpan is the time constant of a customer's average use: jobs arrive one by one, and each
+// takes more than its customer's share while it runs.
+const usageSpan = 2 * time.Second
 
-// use is what a customer uses of a pool, averaged over a while.
-type use struct{ cpu, memory, accelerators float64 }
+// usage is a customer's average use of a pool.
+type usage struct{ cpu, memory, accelerators float64 }
 
-// averageUse takes what customers have been using since the last time.
-func (p *Pool) averageUse(now time.Time) {
-	part := 1 - math.Exp(-now.Sub(p.averaged).Seconds()/useSpan.Seconds())
-	p.averaged = now
-	if p.uses == nil {
-		p.uses = make(map[string]use)
+// updateUsage adds the use since the last update to the averages.
+func (p *Pool) updateUsage(now time.Time) {
+	weight := 1 - math.Exp(-now.Sub(p.usageUpdatedAt).Seconds()/usageSpan.Seconds())
+	p.usageUpdatedAt = now
+	if p.usageByCustomer == nil {
+		p.usageByCustomer = make(map[string]usage)
 	}
-	for customer := range p.allowed.used {
-		if _, known := p.uses[customer]; !known {
-			p.uses[customer] = use{}
+	for customer := range p.allowances.used {
+		if _, known := p.usageByCustomer[customer]; !known {
+			p.usageByCustomer[customer] = usage{}
 		}
 	}
-	for customer, u := range p.uses {
-		used := p.allowed.used[customer]
-		u.cpu += (float64(used.CPU) - u.cpu) * part
-		u.memory += (float64(used.MemoryMB) - u.memory) * part
-		u.accelerators += (float64(used.Accelerators) - u.accelerators) * part
+	for customer, u := range p.usageByCustomer {
+		used := p.allowances.used[customer]
+		u.cpu += (float64(used.CPU) - u.cpu) * weight
+		u.memory += (float64(used.MemoryMB) - u.memory) * weight
+		u.accelerators += (float64(used.Accelerators) - u.accelerators) * weight
 		if used == (job.Size{}) && u.cpu < 1 && u.memory < 1 && u.accelerators < 1 {
-			delete(p.uses, customer)
+			delete(p.usageByCustomer, customer)
 			continue
 		}
-		p.uses[customer] = u
+		p.usageByCustomer[customer] = u
 	}
 }
 
-// placeAll places candidates, which are in order: of each priority first those of customers
-// below their share.
+// placeAll places candidates, which are sorted: in each priority, first those of customers below
+// their share.
 func (p *Pool) placeAll(list []candidate, now time.Time) {
 	for len(list) > 0 {
 		n := 1
@@ -65,21 +66,22 @@
 // placeFairly places candidates of one priority.
 func (p *Pool) placeFairly(list []candidate, now time.Time) {
 	below := p.belowShare(list, now)
-	var later []candidate
+	var deferred []candidate
 	for _, c := range list {
-		if c.urgency != lasting && below != nil && !below(c.job.sub.Customer) {
-			later = append(later, c)
+		if c.urgency != longRunning && below != nil && !below(c.job.sub.Customer) {
+			deferred = append(deferred, c)
 			continue
 		}
 		p.place(c, now)
 	}
-	for _, c := range later {
+	for _, c := range deferred {
 		p.place(c, now)
 	}
 }
 
-// belowShare returns what tells whether a customer uses less of the pool than its share, nil
-// where all candidates are of one customer. Jobs that are nobody's count as one customer's.
+// belowShare returns a function that reports whether a customer uses less of the pool than its
+// share, nil if all candidates belong to one customer. Jobs without a customer count as one
+// customer's.
 func (p *Pool) belowShare(list []candidate, now time.Time) func(customer string) bool {
 	weights := make(map[string]float64)
 	for _, c := range list {
@@ -90,7 +92,7 @@
 	if len(weights) < 2 {
 		return nil
 	}
-	for customer := range p.uses {
+	for customer := range p.usageByCustomer {
 		if _, known := weights[customer]; !known {
 			weights[customer] = p.weightOf(customer)
 		}
@@ -99,27 +101,27 @@
 	for _, w := range weights {
 		total += w
 	}
-	room, answers := p.openRoom(now), make(map[string]bool, len(weights))
+	capacity, cache := p.schedulableCapacity(now), make(map[string]bool, len(weights))
 	return func(customer string) bool {
-		below, known := answers[customer]
+		below, known := cache[customer]
 		if !known {
-			below = p.shareOf(customer, room) < weights[customer]/total
-			answers[customer] = below
+			below = p.shareOf(customer, capacity) < weights[customer]/total
+			cache[customer] = below
 		}
 		return below
 	}
 }
 
-// shareOf returns which share of the room a customer has used lately.
-func (p *Pool) shareOf(customer string, room job.Size) float64 {
-	u := p.uses[customer]
+// shareOf returns the share of the capacity that a customer has recently used.
+func (p *Pool) shareOf(customer string, capacity job.Size) float64 {
+	u := p.usageByCustomer[customer]
 	share := 0.0
 	for _, of := range []struct {
-		used float64
-		room int
-	}{{u.cpu, room.CPU}, {u.memory, room.MemoryMB}, {u.accelerators, room.Accelerators}} {
-		if of.room > 0 {
-			share = max(share, of.used/float64(of.room))
+		used     float64
+		capacity int
+	}{{u.cpu, capacity.CPU}, {u.memory, capacity.MemoryMB}, {u.accelerators, capacity.Accelerators}} {
+		if of.capacity > 0 {
+			share = max(share, of.used/float64(of.capacity))
 		}
 	}
 	return share
@@ -133,13 +135,13 @@
 	return p.config.Customer(customer).Weight()
 }
 
-// openRoom returns the room of the workers on which tasks may be placed.
-func (p *Pool) openRoom(now time.Time) job.Size {
-	var room job.Size
+// schedulableCapacity returns the capacity of the workers on which tasks may be placed.
+func (p *Pool) schedulableCapacity(now time.Time) job.Size {
+	var capacity job.Size
 	for _, w := range p.workers {
-		if w.open(now) {
-			room = room.Plus(w.info.Capacity)
+		if w.schedulable(now) {
+			capacity = capacity.Plus(w.info.Capacity)
 		}
 	}
-	return room
+	return capacity
 }
--- a/services/scheduler/fair_test.go
+++ b/services/scheduler/fair_test.go
@@ -14,14 +14,14 @@
 	"github.com/yardbridge/yardbridge/modules/log"
 )
 
-// BenchmarkPlanOfCustomers plans 3,000 waiting tasks on 40 full workers, of nobody and of 20
-// customers.
+// BenchmarkPlanOfCustomers plans 3,000 waiting tasks on 40 full workers, without customers and with
+// 20 of them.
 func BenchmarkPlanOfCustomers(b *testing.B) {
 	for _, customers := range []int{0, 20} {
 		b.Run(fmt.Sprint(customers), func(b *testing.B) {
 			p, now := fullPool(customers)
 			for b.Loop() {
-				p.moved = true
+				p.needsPlan = true
 				now = now.Add(time.Millisecond)
 				p.Plan(now)
 			}
@@ -29,7 +29,7 @@
 	}
 }
 
-// fullPool returns a pool in which 3,000 tasks wait, and when it is.
+// fullPool returns a pool with 3,000 waiting tasks, and its time.
 func fullPool(customers int) (*Pool, time.Time) {
 	p := New("p", 1, Limits{Lease: time.Hour, StopTime: time.Second, Retention: time.Hour}, log.Nop())
 	var list []config.Customer
@@ -38,11 +38,11 @@
 	}
 	queues := []config.Queue{{Name: "q", Host: "h", PathPrefix: "/", Pool: "p", Stretch: 2, BaseObjective: time.Hour}}
 	p.Configure(config.New(1, queues, []config.Pool{{Name: "p"}}, config.Limits{}).WithCustomers(list))
-	p.allowed.set.Version, p.allowed.set.DefaultFraction = 1, 1
+	p.allowances.current.Version, p.allowances.current.DefaultFraction = 1, 1
 	now := time.Unix(1000, 0)
 	for i := range 40 {
 		w := p.addWorker(worker.Worker{ID: worker.ID(fmt.Sprint("w", i)), Capacity: job.Size{CPU: 16000, MemoryMB: 64000}})
-		w.met, w.listed = true, true
+		w.contacted, w.listed = true, true
 	}
 	for i := range 300 {
 		s := job.Submission{ID: job.ID(fmt.Sprintf("%016x", i)), Queue: "h/", Steps: []job.Step{{Count: 10, Size: job.Size{CPU: 2000, MemoryMB: 100}, Estimate: time.Second}}}
--- a/services/scheduler/gang_test.go
+++ b/services/scheduler/gang_test.go
@@ -14,26 +14,25 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// gangOnTwo returns a desk at which a gang of two is kept, one member on each of the
-// workers "a" and "b", and no order has gone out.
-func gangOnTwo(t *testing.T) *desk {
-	d := newDesk(t, 1)
+// newTestPoolWithGang returns a pool in which a gang of two is persisted, one member on each of the
+// workers "a" and "b", and no order is sent.
+func newTestPoolWithGang(t *testing.T) *testPool {
+	d := newTestPool(t, 1)
 	for _, id := range []worker.ID{"a", "b"} {
 		d.UpdateWorker(worker.Worker{ID: id, Instance: string(id), Pool: "p", Address: string(id), Capacity: job.Size{CPU: 1000, MemoryMB: 4000}})
-		d.look(id, worker.PollResult{}, heard)
+		d.poll(id, worker.PollResult{}, accepted)
 	}
 	d.Submit(job.Submission{ID: "1", Queue: "h/q/", Steps: []job.Step{
 		{Count: 2, Size: job.Size{CPU: 1000}, Estimate: time.Minute, Gang: true},
 	}}, d.now)
-	d.keep()
+	d.persist()
 	assert.Equal(t, len(d.workers["a"].runs), 1)
 	assert.Equal(t, len(d.workers["b"].runs), 1)
 	return d
 }
 
-// begin gives the orders of a worker, which takes each, and returns how many were
-// starts.
-func (d *desk) begin(id worker.ID) int {
+// startOrders sends the orders of a worker, which accepts each, and returns the number of starts.
+func (d *testPool) startOrders(id worker.ID) int {
 	starts := 0
 	for {
 		order, has := d.NextOrder(id, d.now)
@@ -44,13 +43,12 @@
 			starts++
 			d.StartOrder(order, d.now)
 		}
-		d.HandleOrderResponse(order, heard, d.now)
+		d.HandleOrderResponse(order, accepted, d.now)
 	}
 }
 
-// goesOn reports whether a member of the gang is at work or will be, and is not to be
-// stopped.
-func (d *desk) goesOn(id worker.ID) bool {
+// continues reports whether a member of the gang is running or will be, and is not to be stopped.
+func (d *testPool) continues(id worker.ID) bool {
 	for _, u := range d.workers[id].runs {
 		if !u.stopping {
 			return true
@@ -59,65 +57,64 @@
 	return false
 }
 
-// TestGangOfWhichAWorkerIsCordoned: a worker is cordoned, to be moved, between the
-// keeping of a gang and its order. The gang's members must begin together or not at
-// all: one that waits alone for the others breaks the users' rule, and a cordon is our
-// own doing.
-func TestGangOfWhichAWorkerIsCordoned(t *testing.T) {
-	d := gangOnTwo(t)
+// TestGangWithACordonedWorker: a worker is cordoned, to be moved, after a gang is persisted and
+// before its order is sent. The members of the gang must start together or not at all: one that
+// waits alone violates the users' rule, and the cordon is this system's own decision.
+func TestGangWithACordonedWorker(t *testing.T) {
+	d := newTestPoolWithGang(t)
 	cordon(d, CordonRequest{Workers: []CordonedWorker{{ID: "b"}}})
-	d.begin("a")
-	d.begin("b")
-	d.keep()
-	d.begin("a")
-	assert.Equal(t, d.goesOn("a"), d.goesOn("b"), "a member of a gang begins alone")
+	d.startOrders("a")
+	d.startOrders("b")
+	d.persist()
+	d.startOrders("a")
+	assert.Equal(t, d.continues("a"), d.continues("b"), "a member of a gang starts alone")
 }
 
-// TestGangOfWhichAWorkerDrains: the same for a worker that has said that it leaves,
-// where no start may go out: the member that has begun is stopped.
-func TestGangOfWhichAWorkerDrains(t *testing.T) {
-	d := gangOnTwo(t)
-	assert.Equal(t, d.begin("a"), 1)
-	leaving := d.workers["b"].info
-	leaving.Draining = true
-	d.UpdateWorker(leaving)
-	assert.Equal(t, d.begin("b"), 0)
-	d.keep()
-	d.begin("a")
-	assert.Assert(t, !d.goesOn("a"), "a member of a gang waits for one that was given up")
+// TestGangWithADrainingWorker: a worker announces that it drains, after which no start may be sent
+// to it: the member that has started is stopped.
+func TestGangWithADrainingWorker(t *testing.T) {
+	d := newTestPoolWithGang(t)
+	assert.Equal(t, d.startOrders("a"), 1)
+	draining := d.workers["b"].info
+	draining.Draining = true
+	d.UpdateWorker(draining)
+	assert.Equal(t, d.startOrders("b"), 0)
+	d.persist()
+	d.startOrders("a")
+	assert.Assert(t, !d.continues("a"), "a member of a gang waits for an abandoned one")
 }
 
-// TestGangOfWhichAnOrderIsTooOld: one member's order waits too long. The others are
-// given up with it.
-func TestGangOfWhichAnOrderIsTooOld(t *testing.T) {
-	d := gangOnTwo(t)
-	assert.Equal(t, d.begin("a"), 1)
-	d.now = d.now.Add(decidedLongAgo)
-	assert.Equal(t, d.begin("b"), 0)
-	d.keep()
-	assert.Assert(t, !d.goesOn("a"), "a member of a gang waits for one that was given up")
+// TestGangWithAnExpiredOrder: the order of one member waits too long, and the others are abandoned
+// with it.
+func TestGangWithAnExpiredOrder(t *testing.T) {
+	d := newTestPoolWithGang(t)
+	assert.Equal(t, d.startOrders("a"), 1)
+	d.now = d.now.Add(staleAge)
+	assert.Equal(t, d.startOrders("b"), 0)
+	d.persist()
+	assert.Assert(t, !d.continues("a"), "a member of a gang waits for an abandoned one")
 }
 
-// TestGangOfWhichAWorkerFallsSilent: a member that was not sent is given back when its
-// worker falls silent. The others are given up with it.
-func TestGangOfWhichAWorkerFallsSilent(t *testing.T) {
-	d := gangOnTwo(t)
-	assert.Equal(t, d.begin("a"), 1)
-	d.look("b", worker.PollResult{}, port.Response{Result: port.Unknown})
-	assert.Equal(t, d.begin("b"), 0)
-	d.keep()
-	assert.Assert(t, !d.goesOn("a"), "a member of a gang waits for one that was given up")
+// TestGangWithAnUnresponsiveWorker: a member whose order was not sent is released when its worker
+// becomes unresponsive, and the others are abandoned with it.
+func TestGangWithAnUnresponsiveWorker(t *testing.T) {
+	d := newTestPoolWithGang(t)
+	assert.Equal(t, d.startOrders("a"), 1)
+	d.poll("b", worker.PollResult{}, port.Response{Result: port.Unknown})
+	assert.Equal(t, d.startOrders("b"), 0)
+	d.persist()
+	assert.Assert(t, !d.continues("a"), "a member of a gang waits for an abandoned one")
 }
 
-// TestGangOfWhichAWorkerRefuses: a worker has no room for its member after all. The
-// others are given up with it.
-func TestGangOfWhichAWorkerRefuses(t *testing.T) {
-	d := gangOnTwo(t)
-	assert.Equal(t, d.begin("a"), 1)
+// TestGangWithARefusal: a worker has no capacity for its member after all, and the others are
+// abandoned with it.
+func TestGangWithARefusal(t *testing.T) {
+	d := newTestPoolWithGang(t)
+	assert.Equal(t, d.startOrders("a"), 1)
 	order, has := d.NextOrder("b", d.now)
 	assert.Assert(t, has)
 	d.StartOrder(order, d.now)
-	assert.Assert(t, !d.HandleOrderResponse(order, port.Response{Result: port.NoCapacity, Clock: heard.Clock}, d.now))
-	d.keep()
-	assert.Assert(t, !d.goesOn("a"), "a member of a gang waits for one that was refused")
+	assert.Assert(t, !d.HandleOrderResponse(order, port.Response{Result: port.NoCapacity, Clock: accepted.Clock}, d.now))
+	d.persist()
+	assert.Assert(t, !d.continues("a"), "a member of a gang waits for a refused one")
 }
--- a/services/scheduler/order.go
+++ b/services/scheduler/order.go
@@ -15,44 +15,44 @@
 	Stop     bool
 	CPUShare bool
 
-	raised uint64 // part of its token, once it is given
+	tokenRaises uint64 // part of its token, once it is sent
 }
 
-// StartOrder notes that the order to begin a run is sent, and returns it, with a
-// deadline on the worker's clock.
+// StartOrder records that the start order of a run is sent, and returns it with a deadline on the
+// worker's clock.
 func (p *Pool) StartOrder(o Order, now time.Time) port.Start {
 	u := o.Run
 	u.sent = true
 	u.sentAt = now
-	u.tries++
+	u.sendCount++
 	return port.Start{
 		Task: u.name, Number: u.number, Spec: u.job.sub.Spec, Checkpoint: u.task().checkpoint, Ticket: u.ticket.text,
-		Deadline: u.at.ordered(now, startTravel), Token: p.token(u.at),
+		Deadline: u.worker.startDeadline(now, startTransit), Token: p.token(u.worker),
 	}
 }
 
-// starts reports whether an order is to begin its run.
-func (o Order) starts() bool { return !o.Stop && !o.CPUShare }
+// isStart reports whether an order is to start its run.
+func (o Order) isStart() bool { return !o.Stop && !o.CPUShare }
 
-// Valid reports whether an order still is to be given.
+// Valid reports whether an order is still to be sent.
 func (o Order) Valid() bool {
 	switch {
-	case o.Run.phase == over:
+	case o.Run.phase == finished:
 		return false
 	case o.Stop:
-		return !o.Run.stopped
+		return !o.Run.stopAccepted
 	case o.CPUShare:
 		return o.Run.phase == running && !o.Run.stopping
 	}
-	return o.Run.phase == ordered && !o.Run.stopping // a stop also prevents a start that comes later
+	return o.Run.phase == ordered && !o.Run.stopping // a stop also prevents a start that arrives later
 }
 
-// StopOrder returns the order to end the run.
+// StopOrder returns the order to stop the run.
 func (p *Pool) StopOrder(o Order) port.Stop {
-	return port.Stop{Task: o.Run.name, Number: o.Run.number, Token: p.token(o.Run.at)}
+	return port.Stop{Task: o.Run.name, Number: o.Run.number, Token: p.token(o.Run.worker)}
 }
 
-// CPUShareOrder returns the order to let the run work at its share.
+// CPUShareOrder returns the order to limit the run to its CPU share.
 func (p *Pool) CPUShareOrder(o Order) port.CPUShare {
-	return port.CPUShare{Task: o.Run.name, Number: o.Run.number, Percent: o.Run.pace, Token: p.token(o.Run.at)}
+	return port.CPUShare{Task: o.Run.name, Number: o.Run.number, Percent: o.Run.cpuShare, Token: p.token(o.Run.worker)}
 }
--- a/services/scheduler/orders.go
+++ b/services/scheduler/orders.go
@@ -10,34 +10,34 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// order queues an order to a worker.
-func (p *Pool) order(w *workerState, o Order) {
-	w.out = append(w.out, o)
-	p.attend(w)
+// queueOrder queues an order to a worker.
+func (p *Pool) queueOrder(w *workerState, o Order) {
+	w.orders = append(w.orders, o)
+	p.markPending(w)
 }
 
-// attend has a worker among those that there is something for.
-func (p *Pool) attend(w *workerState) {
-	if !w.waiting {
-		w.waiting = true
-		p.out = append(p.out, w.info.ID)
+// markPending marks a worker for processing.
+func (p *Pool) markPending(w *workerState) {
+	if !w.queued {
+		w.queued = true
+		p.pendingWorkers = append(p.pendingWorkers, w.info.ID)
 	}
 }
 
-// PendingWorkers returns the workers that orders were queued for, or that are to be
-// looked at, since it was last asked for.
+// PendingWorkers returns the workers that were marked for processing since the last call: orders
+// for them are queued, or they are to be polled.
 func (p *Pool) PendingWorkers() []worker.ID {
-	ids := p.out
-	p.out = nil
+	ids := p.pendingWorkers
+	p.pendingWorkers = nil
 	for _, id := range ids {
 		if w := p.workers[id]; w != nil {
-			w.waiting = false
+			w.queued = false
 		}
 	}
 	return ids
 }
 
-// Workers returns the names of all workers that are known.
+// Workers returns the names of all known workers.
 func (p *Pool) Workers() []worker.ID {
 	ids := make([]worker.ID, 0, len(p.workers))
 	for id := range p.workers {
@@ -46,7 +46,8 @@
 	return ids
 }
 
-// Worker returns what is known of a worker, with the address to reach it at, and false for none.
+// Worker returns what is known of a worker, with the address to contact it at, and false if it is
+// unknown.
 func (p *Pool) Worker(id worker.ID) (worker.Worker, bool) {
 	w := p.workers[id]
 	if w == nil {
@@ -57,104 +58,103 @@
 	return info, true
 }
 
-// NextOrder takes the next order to a worker off its queue that is still to be
-// given. A worker that does not answer gets none.
+// NextOrder removes the next order to a worker that is still valid from its queue. An unresponsive
+// worker gets none.
 func (p *Pool) NextOrder(id worker.ID, now time.Time) (Order, bool) {
 	w := p.workers[id]
-	if w == nil || !w.silent.IsZero() || w.unproven {
+	if w == nil || !w.unresponsiveSince.IsZero() || w.restartSuspected {
 		return Order{}, false
 	}
-	var waiting []Order
-	for len(w.out) > 0 {
-		o := w.out[0]
-		w.out = w.out[1:]
+	var deferred []Order
+	for len(w.orders) > 0 {
+		o := w.orders[0]
+		w.orders = w.orders[1:]
 		p.withhold(o, now)
 		if !o.Valid() {
 			continue
 		}
 		if o.mustWait() {
-			waiting = append(waiting, o)
+			deferred = append(deferred, o)
 			continue
 		}
-		w.out = append(waiting, w.out...)
-		o.raised = w.raised
+		w.orders = append(deferred, w.orders...)
+		o.tokenRaises = w.tokenRaises
 		return o, true
 	}
-	w.out = waiting
+	w.orders = deferred
 	return Order{}, false
 }
 
-// HasOrder reports whether an order to a worker waits.
+// HasOrder reports whether an order to a worker is queued.
 func (p *Pool) HasOrder(id worker.ID) bool {
 	w := p.workers[id]
-	return w != nil && w.silent.IsZero() && !w.unproven && len(w.out) > 0
+	return w != nil && w.unresponsiveSince.IsZero() && !w.restartSuspected && len(w.orders) > 0
 }
 
-// Retry queues an order once more that got no answer. One order without an answer
-// says little of its worker: nothing new is placed there until something is heard
-// of it. Where nothing is before the next order gets no answer, it counts as silent
-// until it has answered a look.
+// Retry queues an order again that got no response. One order without a response does not prove
+// that the worker is down, but nothing new is placed there until its next response. If the next
+// order gets no response either, the worker counts as unresponsive until it responds to a poll.
 func (p *Pool) Retry(o Order, now time.Time) {
-	w := o.Run.at
+	w := o.Run.worker
 	if p.workers[w.info.ID] != w {
 		return
 	}
-	if w.doubted {
-		p.missed(w, port.Response{Result: port.Unknown}, now)
+	if w.orderUnanswered {
+		p.noteUnresponsive(w, port.Response{Result: port.Unknown}, now)
 	}
-	w.doubted = true
-	w.wantLook = true
-	p.raise(w)
-	p.order(w, o)
+	w.orderUnanswered = true
+	w.pollWanted = true
+	p.raiseToken(w)
+	p.queueOrder(w, o)
 }
 
-// Changed reports whether there is something to plan or to keep.
-func (p *Pool) Changed() bool { return p.moved || len(p.dirty) > 0 || len(p.stops) > 0 }
+// Changed reports whether there is something to plan or to persist.
+func (p *Pool) Changed() bool { return p.needsPlan || len(p.dirty) > 0 || len(p.pendingStops) > 0 }
 
-// The times between looks at a worker. A look is priced, and an end is heard of
-// at the next look at the latest.
+// The times between polls of a worker. Each poll is charged for, and an end is noticed at the next
+// poll at the latest.
 const (
-	lookGap    = 60 * time.Millisecond  // from an answer to the next look, so that ends come together
-	lookRetry  = 150 * time.Millisecond // at a worker that does not answer
-	tellAfter  = 300 * time.Millisecond // until a worker with no runs is told which ends are kept
-	leaseParts = 3                      // a look waits for this part of a lease at most
-	waitShort  = 500 * time.Millisecond // the longest wait while a task runs that will end by itself
-	waitLong   = time.Second            // the longest wait while only tasks run that last
+	pollGap          = 60 * time.Millisecond  // from a response to the next poll, so that ends are collected
+	pollRetry        = 150 * time.Millisecond // for a worker that does not respond
+	acknowledgeDelay = 300 * time.Millisecond // until a worker without runs is told which ends are persisted
+	leaseParts       = 3                      // a poll waits for at most this fraction of a lease
+	shortPollWait    = 500 * time.Millisecond // longest wait while a task runs that ends by itself
+	longPollWait     = time.Second            // longest wait while only long-running tasks run
 )
 
-// NextPoll returns when to look at a worker next and how long that look waits
-// for an end; false where there is nothing to look for.
+// NextPoll returns when to poll a worker next and how long that poll waits for an end; false if
+// there is no need to poll it.
 func (p *Pool) NextPoll(id worker.ID) (time.Time, time.Duration, bool) {
 	w := p.workers[id]
 	switch {
 	case w == nil:
 		return time.Time{}, 0, false
-	case !w.silent.IsZero():
+	case !w.unresponsiveSince.IsZero():
 		if len(w.runs) == 0 && !w.listed {
 			return time.Time{}, 0, false
 		}
-		return w.looked.Add(lookRetry), 0, true
-	case !w.met, w.wantLook:
+		return w.polledAt.Add(pollRetry), 0, true
+	case !w.contacted, w.pollWanted:
 		return time.Time{}, 0, true
 	case len(w.runs) > 0:
-		return w.looked.Add(lookGap), p.lookWait(w), true
-	case w.told < w.kept:
-		return w.looked.Add(tellAfter), 0, true
+		return w.polledAt.Add(pollGap), p.pollWait(w), true
+	case w.acknowledgedEnd < w.persistedEnd:
+		return w.polledAt.Add(acknowledgeDelay), 0, true
 	}
 	return time.Time{}, 0, false
 }
 
-// lookWait returns how long a look at a worker waits for an end.
-func (p *Pool) lookWait(w *workerState) time.Duration {
-	wait := waitLong
+// pollWait returns how long a poll of a worker waits for an end.
+func (p *Pool) pollWait(w *workerState) time.Duration {
+	wait := longPollWait
 	for _, u := range w.runs {
 		if s := u.step().spec; !s.LongRunning || s.LatencyObjective > 0 {
-			wait = waitShort
+			wait = shortPollWait
 			break
 		}
 	}
-	if w.onProbation(w.heardAt) {
-		wait = freshTime
+	if w.onProbation(w.lastContact) {
+		wait = startupTime
 	}
 	return min(wait, p.Limits.Lease/leaseParts)
 }
--- a/services/scheduler/overload.go
+++ b/services/scheduler/overload.go
@@ -9,67 +9,67 @@
 	"github.com/yardbridge/yardbridge/models/job"
 )
 
-// overloadedBy is how many seconds of all its workers' work must be overdue for a pool to
-// count as overloaded. A rush whose late jobs can all be saved leaves nothing overdue; where
-// so much more comes than the pool can do that it does, jobs saved at the last moment
-// make others late, and in the end all of them: with three times the load 0.02 are done
-// in time, and 0.25 where those that can be come first (TestOverloadServesSomeInTime).
-const overloadedBy = 0.5
+// overloadBacklog is how many seconds of work for all its workers must be overdue for a pool to
+// count as overloaded. In a surge whose late jobs can all be rescued nothing is overdue. When so
+// much more arrives than the pool can do that work is overdue, rescuing jobs at the last moment
+// delays others, and in the end all of them: under three times the load 0.02 finish in time, and
+// 0.25 if those that still can finish in time come first (TestOverloadServesSomeInTime).
+const overloadBacklog = 0.5
 
-// fullShare is which share of its workers' processors a pool that is overloaded uses: one
-// whose store is slow has work that is overdue and room for it. What counts is what was in use
-// once the last plan had placed what it could: a plan is made when something has ended.
-const fullShare = 0.8
+// fullUtilization is the share of its workers' processors that an overloaded pool uses: a pool
+// whose store is slow has overdue work and free capacity for it. What counts is the use after the
+// last plan had placed its tasks, since a plan is made when something has ended.
+const fullUtilization = 0.8
 
-// overloadedAfter is for how long that must hold: more instances, if there are any, come
-// within two seconds and take another two to do what waited for them.
-const overloadedAfter = 4 * time.Second
+// overloadDelay is how long that condition must hold: more instances, if there are any, arrive
+// within two seconds and take another two for the work that waited for them.
+const overloadDelay = 4 * time.Second
 
-// rank returns the place of a candidate by its urgency; the lower comes first. Where the
-// pool is overloaded, jobs that have begun are finished first, while that is of use: those
-// that are left for others half done have cost room for nothing.
+// rank returns the place of a candidate by its urgency; lower comes first. If the pool is
+// overloaded, jobs that have started are finished first while they are of value: abandoning them
+// half done for others would waste the capacity they used.
 func (c candidate) rank(overloaded bool) int {
 	switch {
-	case !overloaded || c.urgency == lasting || c.urgency == overdue:
+	case !overloaded || c.urgency == longRunning || c.urgency == overdue:
 		return int(c.urgency)
-	case c.job.began:
-		return int(last)
+	case c.job.started:
+		return int(expiring)
 	case c.urgency == timely:
 		return int(timely)
 	}
 	return int(late)
 }
 
-// turn compares candidates of one rank: those that must go on first come first. Where the
-// pool is overloaded, of the jobs that have not begun the ones that can wait longest do: the
-// others would end just too late, one after the other.
-func (c candidate) turn(o candidate, overloaded bool) int {
-	if overloaded && !c.job.began && !o.job.began {
-		return o.job.latest.Compare(c.job.latest)
+// compareInRank compares candidates of one rank: those with the earliest latest start come first.
+// If the pool is overloaded, jobs that have not started are taken in the opposite order: otherwise
+// each would end just too late, one after the other.
+func (c candidate) compareInRank(o candidate, overloaded bool) int {
+	if overloaded && !c.job.started && !o.job.started {
+		return o.job.latestStart.Compare(c.job.latestStart)
 	}
-	return c.job.latest.Compare(o.job.latest)
+	return c.job.latestStart.Compare(o.job.latestStart)
 }
 
-// isOverloaded reports whether more has come than the pool can do.
-func (p *Pool) isOverloaded(list []candidate, now time.Time) bool {
-	left := 0.0
+// detectOverload reports whether more work has arrived than the pool can do.
+func (p *Pool) detectOverload(list []candidate, now time.Time) bool {
+	backlog := 0.0
 	for _, c := range list {
 		if c.urgency == overdue {
-			left += float64(c.step.spec.Size.CPU*c.step.waiting) * p.expectStep(c.job, c.step).Seconds()
+			backlog += float64(c.step.spec.Size.CPU*c.step.waiting) * p.expectedStepTime(c.job, c.step).Seconds()
 		}
 	}
-	room := float64(p.openCPU(now))
-	if left <= overloadedBy*room || float64(max(p.usedCPU(), p.placedCPU)) < fullShare*room {
+	capacity := float64(p.schedulableCPU(now))
+	if backlog <= overloadBacklog*capacity || float64(max(p.usedCPU(), p.placedCPU)) < fullUtilization*capacity {
 		p.overdueSince = time.Time{}
 		return false
 	}
 	if p.overdueSince.IsZero() {
 		p.overdueSince = now
 	}
-	return now.Sub(p.overdueSince) >= overloadedAfter
+	return now.Sub(p.overdueSince) >= overloadDelay
 }
 
-// usedCPU returns the processors that runs take, in thousandths of a core.
+// usedCPU returns the CPU that runs use, in thousandths of a core.
 func (p *Pool) usedCPU() int {
 	used := 0
 	for _, w := range p.workers {
@@ -78,48 +78,48 @@
 	return used
 }
 
-// openCPU returns the processors of the workers on which tasks may be placed, in
-// thousandths of a core.
-func (p *Pool) openCPU(now time.Time) int { return p.openRoom(now).CPU }
+// schedulableCPU returns the CPU of the workers on which tasks may be placed, in thousandths of a
+// core.
+func (p *Pool) schedulableCPU(now time.Time) int { return p.schedulableCapacity(now).CPU }
 
-// comesFirst reports whether an overloaded pool does a job before one that comes now: it can
-// be in time, or has begun and is of use yet.
-func (j *jobState) comesFirst(now time.Time) bool {
+// precedesNewJobs reports whether an overloaded pool does a job before one that arrives now: it can
+// be in time, or has started and is still of value.
+func (j *jobState) precedesNewJobs(now time.Time) bool {
 	if j.state.Final() || j.sub.RepeatCount > 0 {
 		return false
 	}
-	return !now.After(j.latest) || j.began && !now.After(j.lastChance())
+	return !now.After(j.latestStart) || j.started && !now.After(j.latestUsefulStart())
 }
 
-// ExcessWait returns for how long a job that comes now would have to wait beyond what it can
-// and still be in time, 0 where it may be taken. Only an overloaded pool is full: what waits
-// in a rush is done by instances that are yet to come.
+// ExcessWait returns by how much the expected wait of a job that arrives now exceeds what lets it
+// finish in time, 0 if it can be accepted. It is positive for an overloaded pool only: work that
+// waits in a surge is done by instances that are yet to come.
 func (p *Pool) ExcessWait(s job.Submission, now time.Time) time.Duration {
 	if !p.overloaded || p.Has(s.ID) || s.HasLongRunning() || s.RepeatCount > 0 {
 		return 0
 	}
 	j := p.newJob(s, now)
-	p.weigh(j)
+	p.updateObjective(j)
 	const thousandths = 1000
-	wait := seconds(p.ahead(s.Customer, now) * thousandths / float64(max(p.openCPU(now), 1)))
-	return max(wait-j.latest.Sub(now), 0)
+	wait := seconds(p.workAhead(s.Customer, now) * thousandths / float64(max(p.schedulableCPU(now), 1)))
+	return max(wait-j.latestStart.Sub(now), 0)
 }
 
-// ahead returns the work, in core-seconds, after which a job of a customer that comes now has
-// its turn. Of its share it waits for what the customer itself has there already, however much
-// the others have; where they leave something, for less.
-func (p *Pool) ahead(customer string, now time.Time) float64 {
+// workAhead returns the core-seconds of work that come before a new job of a customer. Within its
+// share, a customer waits for its own work only, however much others have queued; if these leave
+// capacity unused, it waits for less.
+func (p *Pool) workAhead(customer string, now time.Time) float64 {
 	work := make(map[string]float64)
 	all, weights := 0.0, 0.0
 	for _, j := range p.active {
-		if !j.comesFirst(now) {
+		if !j.precedesNewJobs(now) {
 			continue
 		}
 		if _, known := work[j.sub.Customer]; !known {
 			weights += p.weightOf(j.sub.Customer)
 		}
-		work[j.sub.Customer] += j.work
-		all += j.work
+		work[j.sub.Customer] += j.remainingWork
+		all += j.remainingWork
 	}
 	own := p.weightOf(customer)
 	if _, known := work[customer]; !known {
--- a/services/scheduler/plan.go
+++ b/services/scheduler/plan.go
@@ -12,58 +12,58 @@
 	"github.com/yardbridge/yardbridge/models/job"
 )
 
-// urgency orders what waits: the lower comes first.
+// urgency orders waiting steps: lower values are placed first.
 type urgency uint8
 
 // The urgencies of steps of one priority.
 const (
-	lasting urgency = iota // serves users as long as it runs
-	last                   // is late, and would soon be of no use any more
-	timely                 // can still end within its objective
-	late                   // is late and can wait
-	overdue                // is of no use any more, but is owed its end
+	longRunning urgency = iota // serves users as long as it runs
+	expiring                   // late, and soon of no value any more
+	timely                     // can still end within its objective
+	late                       // late, but can wait
+	overdue                    // of no value any more, but must still be completed
 )
 
-// candidate is a step with tasks that wait.
+// candidate is a step with waiting tasks.
 type candidate struct {
 	job     *jobState
 	step    *stepState
 	urgency urgency
 }
 
-// Plan begins runs of tasks that wait, as far as there is room. It returns when
-// to plan again though nothing changes, the zero time for never.
+// Plan starts runs of waiting tasks as far as there is capacity. It returns when to plan again if
+// nothing changes, the zero time for never.
 func (p *Pool) Plan(now time.Time) time.Time {
 	p.ExpireLeases(now)
 	p.withholdAll(now)
-	p.forget(now)
-	p.leave(now)
-	if !p.moved && (p.wake.IsZero() || now.Before(p.wake)) {
-		return p.wake
+	p.forgetEndedJobs(now)
+	p.evacuate(now)
+	if !p.needsPlan && (p.planAt.IsZero() || now.Before(p.planAt)) {
+		return p.planAt
 	}
-	p.moved, p.wake = false, time.Time{}
+	p.needsPlan, p.planAt = false, time.Time{}
 	p.reserved, p.reservedFor = nil, nil
 	p.ExpireLeases(now)
 	p.withholdAll(now)
-	p.sweep()
-	p.averageUse(now)
+	p.pruneActive()
+	p.updateUsage(now)
 	p.placeAll(p.candidates(now), now)
-	p.endWaits(now)
+	p.endWaiting(now)
 	p.placedCPU = p.usedCPU()
 	for _, w := range p.workers {
-		p.wakeAt(w.trust.until, now)
+		p.schedulePlan(w.health.ejectedUntil, now)
 		if w.onProbation(now) {
-			p.wakeAt(now.Add(holdStep), now)
+			p.schedulePlan(now.Add(probationReplanInterval), now)
 		}
 	}
-	p.wakeForAdvice(now)
-	return p.wake
+	p.scheduleAdvice(now)
+	return p.planAt
 }
 
-// wakeAt has the pool planned again at a time that is yet to come.
-func (p *Pool) wakeAt(t, now time.Time) {
-	if t.After(now) && (p.wake.IsZero() || t.Before(p.wake)) {
-		p.wake = t
+// schedulePlan schedules another plan at a future time.
+func (p *Pool) schedulePlan(t, now time.Time) {
+	if t.After(now) && (p.planAt.IsZero() || t.Before(p.planAt)) {
+		p.planAt = t
 	}
 }
 
@@ -71,28 +71,28 @@
 func (p *Pool) candidates(now time.Time) []candidate {
 	var list []candidate
 	for _, j := range p.active {
-		list = p.stepsOf(j, now, list)
+		list = p.runnableSteps(j, now, list)
 	}
-	p.overloaded = p.isOverloaded(list, now)
+	p.overloaded = p.detectOverload(list, now)
 	slices.SortStableFunc(list, func(a, b candidate) int {
 		return cmp.Or(
 			cmp.Compare(a.job.queue.Priority, b.job.queue.Priority),
 			cmp.Compare(a.rank(p.overloaded), b.rank(p.overloaded)),
-			a.turn(b, p.overloaded),
+			a.compareInRank(b, p.overloaded),
 		)
 	})
 	return list
 }
 
-// stepsOf adds a job's steps that may run now.
-func (p *Pool) stepsOf(j *jobState, now time.Time, list []candidate) []candidate {
+// runnableSteps appends the steps of a job that may run now.
+func (p *Pool) runnableSteps(j *jobState, now time.Time, list []candidate) []candidate {
 	for n := range j.rounds {
 		if j.sub.RepeatCount > 0 && now.Before(p.due(j, n)) {
-			p.wakeAt(p.due(j, n), now)
+			p.schedulePlan(p.due(j, n), now)
 			break
 		}
 		r := j.openRound(n)
-		if r.left == 0 {
+		if r.openSteps == 0 {
 			continue
 		}
 		for i := range r.steps {
@@ -108,39 +108,39 @@
 // urgency returns how urgent a step is.
 func (j *jobState) urgency(s *stepState, now time.Time) urgency {
 	if s.spec.LongRunning {
-		return lasting
+		return longRunning
 	}
-	switch left := j.lastChance().Sub(now); {
-	case !now.After(j.latest):
+	switch remaining := j.latestUsefulStart().Sub(now); {
+	case !now.After(j.latestStart):
 		return timely
-	case left > lastMoment:
+	case remaining > expiringMargin:
 		return late
-	case left >= 0:
-		return last
+	case remaining >= 0:
+		return expiring
 	}
 	return overdue
 }
 
-// lastMoment is how long before its last chance a late job comes before those
-// that are in time: what it waits for may take a second to come.
-const lastMoment = 1200 * time.Millisecond
+// expiringMargin is how long before its last useful start a late job is placed ahead of those that
+// are in time: the capacity that it waits for may take a second to become free.
+const expiringMargin = 1200 * time.Millisecond
 
-// lastChance returns when a job must go on at the latest to be of use though it
-// is late.
-func (j *jobState) lastChance() time.Time { return j.latest.Add((lateTimes - 1) * j.aim) }
+// latestUsefulStart returns the latest time at which a late job must continue to be of any value.
+func (j *jobState) latestUsefulStart() time.Time {
+	return j.latestStart.Add((maxLateFactor - 1) * j.objective)
+}
 
-// slack returns how long a job can wait and still end within its objective, or
-// where that is over, and earn a little.
+// slack returns how long a job can wait and still end within its objective, or, once that is
+// missed, still be of some value.
 func (j *jobState) slack(now time.Time) time.Duration {
-	slack := j.latest.Sub(now)
+	slack := j.latestStart.Sub(now)
 	if slack < 0 {
-		slack += (lateTimes - 1) * j.aim
+		slack += (maxLateFactor - 1) * j.objective
 	}
 	return slack
 }
 
-// place begins runs of a step's waiting tasks on the workers that suit them
-// best.
+// place starts runs of a step's waiting tasks on the workers that suit them best.
 func (p *Pool) place(c candidate, now time.Time) {
 	if c.step.spec.Gang {
 		p.placeGang(c, now)
@@ -151,58 +151,58 @@
 		if t.done || len(t.runs) > 0 {
 			continue
 		}
-		if !p.allows(c, 1, now) {
+		if !p.withinAllowance(c, 1, now) {
 			return
 		}
 		if now.Before(t.notBefore) {
-			p.wakeAt(t.notBefore, now)
+			p.schedulePlan(t.notBefore, now)
 			continue
 		}
-		w := p.choose(c, t, now, nil)
-		if w == nil && t.fails == 0 && !t.suspected() {
+		w := p.chooseWorker(c, t, now, nil)
+		if w == nil && t.failures == 0 && !t.suspected() {
 			return
 		}
 		if w == nil {
-			p.wakeAt(t.suspectSince.Add(apartMost), now)
-			p.wakeAt(t.failedAt.Add(lastPatience), now)
+			p.schedulePlan(t.suspectSince.Add(maxSeparation), now)
+			p.schedulePlan(t.failedAt.Add(lastAttemptDelay), now)
 			continue
 		}
-		u := p.plan(c.job, c.step, i, w, now)
-		p.logPlaced(c, u, now)
+		u := p.planRun(c.job, c.step, i, w, now)
+		p.logPlacement(c, u, now)
 	}
 }
 
-// allows reports whether so many tasks of a step may begin together by their customer's
-// allowance.
-func (p *Pool) allows(c candidate, tasks int, now time.Time) bool {
+// withinAllowance reports whether the customer's allowance permits this many tasks of a step to
+// start together.
+func (p *Pool) withinAllowance(c candidate, tasks int, now time.Time) bool {
 	size := c.step.spec.Size.Times(tasks)
-	if p.lets(c.job.sub.Customer, size) {
+	if p.allowsStart(c.job.sub.Customer, size) {
 		return true
 	}
-	p.waitsAtLimit(c.job, size, now)
+	p.noteWaiting(c.job, size, now)
 	return false
 }
 
-func (p *Pool) logPlaced(c candidate, u *run, now time.Time) {
-	room := u.at.room()
-	p.Logger.Info().Str("event", "place").Str("task", u.name).Int("run", u.number).Str("worker", string(u.at.info.ID)).
-		Uint64("batch", p.batch).Uint8("urgency", uint8(c.urgency)).Dur("slack", c.job.latest.Sub(now)).
-		Int("free_cpu", room.CPU).Int("free_memory_mb", room.MemoryMB).Dur("heard", now.Sub(u.at.clockAt)).Msg("a task is placed")
+func (p *Pool) logPlacement(c candidate, u *run, now time.Time) {
+	free := u.worker.free()
+	p.Logger.Info().Str("event", "place").Str("task", u.name).Int("run", u.number).Str("worker", string(u.worker.info.ID)).
+		Uint64("batch", p.batch).Uint8("urgency", uint8(c.urgency)).Dur("slack", c.job.latestStart.Sub(now)).
+		Int("free_cpu", free.CPU).Int("free_memory_mb", free.MemoryMB).Dur("heard", now.Sub(u.worker.clockAt)).Msg("task placed")
 }
 
-// choose returns the worker that suits a task of a step best, nil where none
-// has room. Workers for which skip returns true are passed over.
-func (p *Pool) choose(c candidate, t *taskState, now time.Time, skip func(*workerState) bool) *workerState {
+// chooseWorker returns the best worker for a task of a step, nil if none has capacity. Workers for
+// which skip returns true are excluded.
+func (p *Pool) chooseWorker(c candidate, t *taskState, now time.Time, skip func(*workerState) bool) *workerState {
 	var best *workerState
 	var bestScore float64
 	for _, w := range p.workers {
-		if !p.suits(c.step, w, now) || skip != nil && skip(w) || w.trust.onTrial && t.risky(c.job) {
+		if !p.canRun(c.step, w, now) || skip != nil && skip(w) || w.health.onTrial && t.onLastAttempt(c.job) {
 			continue
 		}
-		if t.spares(w, c.job, now) || t.endangers(w, now) {
+		if t.savesLastAttempt(w, c.job, now) || t.keepApart(w, now) {
 			continue
 		}
-		score := p.score(c.step, w) - t.mistrust(w) - t.risk(w)
+		score := p.score(c.step, w) - t.failureCost(w) - t.suspectCost(w)
 		if best == nil || score > bestScore || score == bestScore && w.info.ID < best.info.ID {
 			best, bestScore = w, score
 		}
@@ -210,46 +210,44 @@
 	return best
 }
 
-// suits reports whether a task of a step may run on a worker now.
-func (p *Pool) suits(s *stepState, w *workerState, now time.Time) bool {
+// canRun reports whether a task of a step may run on a worker now.
+func (p *Pool) canRun(s *stepState, w *workerState, now time.Time) bool {
 	switch {
-	case !w.open(now), !s.spec.Reservation().FitsIn(w.room()):
+	case !w.schedulable(now), !s.spec.Reservation().FitsIn(w.free()):
 		return false
-	case !s.admits(w, now):
+	case !s.allowedOn(w, now):
 		return false
 	case p.reserved[w] && p.reservedFor != s && !s.spec.LongRunning:
 		return false
 	case s.spec.Label != "" && !w.info.HasLabel(s.spec.Label):
 		return false
-	case s.spec.MaxPerWorker > 0 && s.perHost[w] >= s.spec.MaxPerWorker:
+	case s.spec.MaxPerWorker > 0 && s.runsByWorker[w] >= s.spec.MaxPerWorker:
 		return false
 	}
 	return true
 }
 
-// What counts for a worker, against the share of it that is in use, which is 1
-// at most.
+// Score bonuses of a worker; its used share, which counts too, is at most 1.
 const (
-	nearData     = 4 // being near the task's data
-	lastingThere = 2 // for a task that lasts, that others run there that do
+	dataLocalityBonus = 4 // the worker is near the task's data
+	longRunningBonus  = 2 // for a long-running task on a worker that runs others
 )
 
-// score says how well a worker suits a task; the higher the better. Workers are
-// filled one after the other, so that others are empty and can be maintained or
-// serve another pool.
+// score rates how well a worker suits a task; higher is better. Workers are filled one after the
+// other, so that others become empty and can be maintained or serve another pool.
 func (p *Pool) score(s *stepState, w *workerState) float64 {
-	score := float64(w.used.CPU)/float64(max(w.info.Capacity.CPU, 1)) + s.shareScore(w)
+	score := float64(w.used.CPU)/float64(max(w.info.Capacity.CPU, 1)) + s.sharingScore(w)
 	if s.spec.Rack != "" && w.info.HasLabel(s.spec.Rack) {
-		score += nearData
+		score += dataLocalityBonus
 	}
-	if s.spec.LongRunning && w.lasting > 0 && !servesUsers(s.spec) {
-		score += lastingThere
+	if s.spec.LongRunning && w.longRunningRuns > 0 && !servesUsers(s.spec) {
+		score += longRunningBonus
 	}
 	return score
 }
 
-// placeGang begins all tasks of a gang or none: on one rack where they are slow
-// otherwise and one has the room, else wherever there is room.
+// placeGang starts all tasks of a gang or none. If the step is slower across racks, it prefers one
+// rack with enough capacity, and falls back to any workers.
 func (p *Pool) placeGang(c candidate, now time.Time) {
 	if c.step.waiting < len(c.step.tasks) {
 		return
@@ -259,22 +257,22 @@
 			return
 		}
 	}
-	if !p.allows(c, len(c.step.tasks), now) {
+	if !p.withinAllowance(c, len(c.step.tasks), now) {
 		return
 	}
 	var chosen []*workerState
 	if c.step.spec.SameRack {
 		for _, rack := range p.racks() {
-			if chosen = p.seats(c, now, rack); chosen != nil {
+			if chosen = p.gangWorkers(c, now, rack); chosen != nil {
 				break
 			}
 		}
 	}
 	if chosen == nil {
-		chosen = p.seats(c, now, "")
+		chosen = p.gangWorkers(c, now, "")
 	}
 	if chosen == nil {
-		p.reserve(c, now)
+		p.reserveForGang(c, now)
 		return
 	}
 	number := 0
@@ -283,60 +281,59 @@
 	}
 	for i, w := range chosen {
 		c.step.tasks[i].number = number // the members of a gang share the number
-		p.logPlaced(c, p.plan(c.job, c.step, i, w, now), now)
+		p.logPlacement(c, p.planRun(c.job, c.step, i, w, now), now)
 	}
 }
 
-// reserve keeps workers free for a gang that waits, so that room for all of it
-// comes together: nothing else is placed there in this plan. One gang at a time
-// has that right, the most urgent one.
-func (p *Pool) reserve(c candidate, now time.Time) {
-	if p.reservedFor != nil || c.urgency == timely && now.Sub(c.job.accepted) < gangPatience {
+// reserveForGang reserves workers for a waiting gang, so that capacity for all of it becomes free
+// together: this plan places nothing else on them. Only the most urgent gang gets a reservation.
+func (p *Pool) reserveForGang(c candidate, now time.Time) {
+	if p.reservedFor != nil || c.urgency == timely && now.Sub(c.job.accepted) < gangReserveAfter {
 		return
 	}
 	p.reservedFor = c.step
 	p.reserved = make(map[*workerState]bool)
-	room := c.step.spec.Reservation()
-	left := len(c.step.tasks)
-	for _, w := range p.byRoom() {
-		if left <= 0 {
+	size := c.step.spec.Reservation()
+	remaining := len(c.step.tasks)
+	for _, w := range p.byFreeCapacity() {
+		if remaining <= 0 {
 			return
 		}
-		fits := p.wouldFit(c.step, w, room, now)
+		fits := p.wouldFit(c.step, w, size, now)
 		if fits > 0 {
 			p.reserved[w] = true
-			left -= fits
+			remaining -= fits
 		}
 	}
 }
 
-// gangPatience is how long a gang that can be in time waits for room before
-// workers are kept free for it.
-const gangPatience = time.Second
+// gangReserveAfter is how long a gang that can still be in time waits before workers are reserved
+// for it.
+const gangReserveAfter = time.Second
 
-// byRoom returns the workers, those with the most room first.
-func (p *Pool) byRoom() []*workerState {
+// byFreeCapacity returns the workers, those with the most free capacity first.
+func (p *Pool) byFreeCapacity() []*workerState {
 	list := slices.Collect(maps.Values(p.workers))
 	slices.SortFunc(list, func(a, b *workerState) int {
-		return cmp.Or(cmp.Compare(b.room().CPU, a.room().CPU), cmp.Compare(a.info.ID, b.info.ID))
+		return cmp.Or(cmp.Compare(b.free().CPU, a.free().CPU), cmp.Compare(a.info.ID, b.info.ID))
 	})
 	return list
 }
 
-// wouldFit returns how many tasks of a step a worker takes once nothing but tasks
-// that last runs there.
-func (p *Pool) wouldFit(s *stepState, w *workerState, room job.Size, now time.Time) int {
-	if !w.open(now) || s.spec.Label != "" && !w.info.HasLabel(s.spec.Label) {
+// wouldFit returns how many tasks of a step a worker could take if only long-running tasks ran
+// there.
+func (p *Pool) wouldFit(s *stepState, w *workerState, size job.Size, now time.Time) int {
+	if !w.schedulable(now) || s.spec.Label != "" && !w.info.HasLabel(s.spec.Label) {
 		return 0
 	}
 	free := w.info.Capacity
 	for _, u := range w.runs {
-		if !u.stray && u.step().spec.LongRunning {
-			free = free.Minus(u.room)
+		if !u.orphan && u.step().spec.LongRunning {
+			free = free.Minus(u.size)
 		}
 	}
 	fits := 0
-	for room.Times(fits+1).FitsIn(free) && (s.spec.MaxPerWorker == 0 || fits < s.spec.MaxPerWorker) && fits < len(s.tasks) {
+	for size.Times(fits+1).FitsIn(free) && (s.spec.MaxPerWorker == 0 || fits < s.spec.MaxPerWorker) && fits < len(s.tasks) {
 		fits++
 	}
 	return fits
@@ -352,23 +349,23 @@
 	return slices.Compact(racks)
 }
 
-// seats returns a worker for each task of a gang, on a rack unless that is "",
-// nil where they do not all fit.
-func (p *Pool) seats(c candidate, now time.Time, rack string) []*workerState {
+// gangWorkers returns a worker for each task of a gang, on the given rack unless that is "", nil if
+// they do not all fit.
+func (p *Pool) gangWorkers(c candidate, now time.Time, rack string) []*workerState {
 	taken := make(map[*workerState]job.Size)
 	count := make(map[*workerState]int)
 	chosen := make([]*workerState, 0, len(c.step.tasks))
-	room := c.step.spec.Reservation()
+	size := c.step.spec.Reservation()
 	for i := range c.step.tasks {
-		w := p.choose(c, &c.step.tasks[i], now, func(w *workerState) bool {
-			most := c.step.spec.MaxPerWorker
-			return rack != "" && !w.info.HasLabel(rack) || most > 0 && c.step.perHost[w]+count[w] >= most ||
-				!room.Plus(taken[w]).FitsIn(w.room())
+		w := p.chooseWorker(c, &c.step.tasks[i], now, func(w *workerState) bool {
+			limit := c.step.spec.MaxPerWorker
+			return rack != "" && !w.info.HasLabel(rack) || limit > 0 && c.step.runsByWorker[w]+count[w] >= limit ||
+				!size.Plus(taken[w]).FitsIn(w.free())
 		})
 		if w == nil {
 			return nil
 		}
-		taken[w] = taken[w].Plus(room)
+		taken[w] = taken[w].Plus(size)
 		count[w]++
 		chosen = append(chosen, w)
 	}
--- a/services/scheduler/record.go
+++ b/services/scheduler/record.go
@@ -16,26 +16,25 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// What is kept of a job lies under two keys: its submission, written once, of which only
-// whose job it is stays once it has ended, and its progress, written with each change.
-// Cordoned workers have a key each, and so have the starts of workers with runs (restart.go)
-// and the jobs under whose tasks workers have crashed. The pool's allowances have one
-// (allowance.go).
+// A job has two keys: its submission, which is written once and reduced to the job's customer when
+// the job ends, and its progress, which is written with each change. Each cordoned worker has a
+// key, as have each worker with runs, for its start time (restart.go), and each job with crashes
+// attributed to its tasks. The pool's allowances have one key (allowance.go).
 const (
 	keySubmission = "s/"
 	keyProgress   = "p/"
-	keyCordon     = "c/" // with the worker's name
-	keyCrashes    = "x/" // with the job's name
+	keyCordon     = "c/" // followed by the worker's name
+	keyCrashes    = "x/" // followed by the job's name
 )
 
-// progress is what is kept of how far a job is.
+// progress is the persisted progress of a job.
 type progress struct {
 	_        struct{} `cbor:",toarray"`
 	State    job.State
 	Accepted int64 // milliseconds since 1970
-	Ended    int64 // the same, 0 for not yet
+	Ended    int64 // milliseconds since 1970, 0 for not yet
 	Began    bool
-	Rounds   []roundProgress // those that have been opened
+	Rounds   []roundProgress // rounds that have been opened
 }
 
 type roundProgress struct {
@@ -62,51 +61,51 @@
 	Stopping bool
 }
 
-// Batch is a set of changes that are kept together.
+// Batch is a set of changes that are persisted together.
 type Batch struct {
 	Number  uint64
 	Records []port.Record
 	runs    []*run
 	stops   []*run
-	seen    []seenEnd
+	ends    []endMark
 	stored  []*jobState
 }
 
-// seenEnd is up to which end of a worker the batch has taken note.
-type seenEnd struct {
-	at       *workerState
+// endMark is the newest end of a worker that the batch includes.
+type endMark struct {
+	worker   *workerState
 	sequence int
 }
 
-// Collect returns what has changed since the last batch, nil for nothing.
+// Collect returns the changes since the last batch, nil if there are none.
 func (p *Pool) Collect() (*Batch, error) {
-	b := &Batch{Number: p.batch, runs: p.planned, stops: p.stops}
+	b := &Batch{Number: p.batch, runs: p.plannedRuns, stops: p.pendingStops}
 	for _, j := range p.dirty {
 		if err := b.add(j, p.Clock); err != nil {
 			return nil, err
 		}
 	}
-	for _, id := range p.recordons {
+	for _, id := range p.changedCordons {
 		b.Records = append(b.Records, cordonRecord(id, p.cordons[id]))
 	}
-	p.recordons = nil
+	p.changedCordons = nil
 	if err := p.addStarts(b); err != nil {
 		return nil, err
 	}
-	if p.allowed.changed {
+	if p.allowances.changed {
 		r, err := p.allowancesRecord()
 		if err != nil {
 			return nil, err
 		}
 		b.Records = append(b.Records, r)
-		p.allowed.changed = false
+		p.allowances.changed = false
 	}
 	for _, w := range p.workers {
-		if w.seen > w.kept {
-			b.seen = append(b.seen, seenEnd{w, w.seen})
+		if w.lastEnd > w.persistedEnd {
+			b.ends = append(b.ends, endMark{w, w.lastEnd})
 		}
 	}
-	if len(b.Records) == 0 && len(b.seen) == 0 && len(b.runs) == 0 && len(b.stops) == 0 {
+	if len(b.Records) == 0 && len(b.ends) == 0 && len(b.runs) == 0 && len(b.stops) == 0 {
 		return nil, nil
 	}
 	for _, j := range p.dirty {
@@ -115,15 +114,15 @@
 	}
 	clear(p.dirty)
 	p.dirty = p.dirty[:0]
-	p.planned, p.stops = nil, nil
+	p.plannedRuns, p.pendingStops = nil, nil
 	p.batch++
 	return b, nil
 }
 
-// add puts the records of a job into the batch.
+// add adds the records of a job to the batch.
 func (b *Batch) add(j *jobState, c clock.Clock) error {
 	id := string(j.sub.ID)
-	if j.state == "" { // forgotten
+	if j.state == "" { // the job is forgotten
 		b.Records = append(b.Records, port.Record{Key: keyProgress + id})
 		if j.sub.Customer != "" {
 			b.Records = append(b.Records, port.Record{Key: keySubmission + id})
@@ -141,24 +140,23 @@
 	return b.addCrashes(j)
 }
 
-// addSubmission puts what is to be kept of a job's submission into the batch, where that
-// has changed.
+// addSubmission adds the persisted part of a job's submission to the batch if it has changed.
 func (b *Batch) addSubmission(j *jobState) error {
-	kept := j.sub
+	submission := j.sub
 	switch {
-	case !j.over() && j.stored:
+	case !j.finished() && j.stored:
 		return nil
-	case !j.over():
+	case !j.finished():
 		b.stored = append(b.stored, j)
 	case j.sub.Customer != "":
-		kept = job.Submission{ID: j.sub.ID, Queue: j.sub.Queue, Customer: j.sub.Customer}
+		submission = job.Submission{ID: j.sub.ID, Queue: j.sub.Queue, Customer: j.sub.Customer}
 	case j.stored:
 		b.Records = append(b.Records, port.Record{Key: keySubmission + string(j.sub.ID)})
 		return nil
 	default:
 		return nil
 	}
-	data, err := codec.Marshal(kept)
+	data, err := codec.Marshal(submission)
 	if err != nil {
 		return err
 	}
@@ -167,11 +165,11 @@
 }
 
 func (j *jobState) progress(c clock.Clock) progress {
-	d := progress{State: j.state, Accepted: c.WallTime(j.accepted).UnixMilli(), Began: j.began}
+	d := progress{State: j.state, Accepted: c.WallTime(j.accepted).UnixMilli(), Began: j.started}
 	if j.state.Final() {
 		d.Ended = c.WallTime(j.endedAt).UnixMilli()
 	}
-	if j.over() {
+	if j.finished() {
 		return d
 	}
 	for n, r := range j.rounds {
@@ -194,43 +192,42 @@
 	tasks := make([]taskProgress, len(s.tasks))
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		d := taskProgress{Number: t.number, Fails: t.fails, Done: t.done, Checkpoint: t.checkpoint}
+		d := taskProgress{Number: t.number, Fails: t.failures, Done: t.done, Checkpoint: t.checkpoint}
 		for _, u := range t.runs {
-			d.Runs = append(d.Runs, runProgress{Number: u.number, Worker: u.at.info.ID, Address: u.at.info.Address, Stopping: u.stopping})
+			d.Runs = append(d.Runs, runProgress{Number: u.number, Worker: u.worker.info.ID, Address: u.worker.info.Address, Stopping: u.stopping})
 		}
 		tasks[i] = d
 	}
 	return tasks
 }
 
-// Committed takes the news that a batch is kept for good: what it carries may be
-// acted on. Its runs count as kept from when the append was sent: then this node
-// owned the pool, which the time at which the answer is read does not tell.
+// Committed records that a batch is persisted, so that its changes may be acted on. Its runs count
+// as persisted from the time at which the append was sent: this node owned the pool then, which
+// does not follow from the time at which the response is read.
 func (p *Pool) Committed(b *Batch, sent time.Time) {
 	p.committed = b.Number
-	p.keptAllowances()
+	p.notePersistedAllowances()
 	for _, j := range b.stored {
 		j.stored = true
 	}
 	for _, u := range b.runs {
 		if u.phase == planned {
 			u.phase = ordered
-			u.kept = sent
-			p.order(u.at, Order{Run: u})
+			u.persistedAt = sent
+			p.queueOrder(u.worker, Order{Run: u})
 		}
 	}
 	for _, u := range b.stops {
-		p.order(u.at, Order{Run: u, Stop: true})
+		p.queueOrder(u.worker, Order{Run: u, Stop: true})
 	}
-	for _, s := range b.seen {
-		s.at.kept = max(s.at.kept, s.sequence)
+	for _, s := range b.ends {
+		s.worker.persistedEnd = max(s.worker.persistedEnd, s.sequence)
 	}
 }
 
-// Restore takes over what an earlier owner has kept. Its runs may be under way;
-// until their worker has answered, or surely for the given time, their room is
-// taken.
-func (p *Pool) Restore(records []port.Record, now time.Time, surely time.Duration) error {
+// Restore restores the state that an earlier owner persisted. Its runs may still be active: their
+// capacity stays reserved until their worker has responded, for reserveFor at most.
+func (p *Pool) Restore(records []port.Record, now time.Time, reserveFor time.Duration) error {
 	submissions := make(map[job.ID]job.Submission)
 	for _, r := range records {
 		id, isSubmission := strings.CutPrefix(r.Key, keySubmission)
@@ -239,7 +236,7 @@
 		}
 		var s job.Submission
 		if err := codec.Unmarshal(r.Value, &s); err != nil {
-			return errors.Annotatef(err, "submission %s", id)
+			return errors.Annotatef(err, "decode submission %s", id)
 		}
 		submissions[job.ID(id)] = s
 	}
@@ -258,14 +255,14 @@
 		}
 		var d progress
 		if err := codec.Unmarshal(r.Value, &d); err != nil {
-			return errors.Annotatef(err, "progress %s", id)
+			return errors.Annotatef(err, "decode progress %s", id)
 		}
 		s, has := submissions[job.ID(id)]
 		if !has && !d.State.Final() {
-			return errors.Errorf("job %s is %s and has no submission", id, d.State)
+			return errors.Errorf("job %s is %s but has no submission", id, d.State)
 		}
 		s.ID = job.ID(id)
-		p.restoreJob(s, d, now, surely)
+		p.restoreJob(s, d, now, reserveFor)
 	}
 	if err := p.restoreCrashes(records); err != nil {
 		return err
@@ -273,22 +270,22 @@
 	if err := p.restoreAllowances(records); err != nil {
 		return err
 	}
-	p.arrange()
-	p.moved = true
+	p.sortActive()
+	p.needsPlan = true
 	return nil
 }
 
-// arrange sorts the active jobs as they came.
-func (p *Pool) arrange() {
+// sortActive sorts the active jobs by arrival.
+func (p *Pool) sortActive() {
 	sortJobs(p.active)
 	for _, j := range p.active {
-		p.weigh(j)
+		p.updateObjective(j)
 	}
 }
 
-func (p *Pool) restoreJob(s job.Submission, d progress, now time.Time, surely time.Duration) {
+func (p *Pool) restoreJob(s job.Submission, d progress, now time.Time, reserveFor time.Duration) {
 	j := p.newJob(s, p.Clock.FromWallTime(time.UnixMilli(d.Accepted)))
-	j.state, j.began, j.stored, j.collected = d.State, d.Began, true, true
+	j.state, j.started, j.stored, j.collected = d.State, d.Began, true, true
 	p.jobs[s.ID] = j
 	if d.State.Final() {
 		j.endedAt = p.Clock.FromWallTime(time.UnixMilli(d.Ended))
@@ -297,13 +294,13 @@
 		p.active = append(p.active, j)
 	}
 	for _, o := range d.Rounds {
-		p.restoreRound(j, o, now, surely)
+		p.restoreRound(j, o, now, reserveFor)
 	}
 }
 
-func (p *Pool) restoreRound(j *jobState, o roundProgress, now time.Time, surely time.Duration) {
+func (p *Pool) restoreRound(j *jobState, o roundProgress, now time.Time, reserveFor time.Duration) {
 	if len(j.sub.Steps) == 0 || o.Round >= len(j.rounds) {
-		return // of an ended job nothing is kept but its state
+		return // only the state of an ended job is persisted
 	}
 	r := j.openRound(o.Round)
 	for i := range r.steps {
@@ -313,18 +310,18 @@
 				s.tasks[t].done = true
 			}
 			s.done, s.waiting = len(s.tasks), 0
-			r.left--
+			r.openSteps--
 			continue
 		}
 		for t, d := range o.Steps[i] {
-			p.restoreTask(j, s, t, d, now, surely)
+			p.restoreTask(j, s, t, d, now, reserveFor)
 		}
 	}
 }
 
-func (p *Pool) restoreTask(j *jobState, s *stepState, index int, d taskProgress, now time.Time, surely time.Duration) {
+func (p *Pool) restoreTask(j *jobState, s *stepState, index int, d taskProgress, now time.Time, reserveFor time.Duration) {
 	t := &s.tasks[index]
-	t.number, t.fails, t.done, t.checkpoint = d.Number, d.Fails, d.Done, d.Checkpoint
+	t.number, t.failures, t.done, t.checkpoint = d.Number, d.Fails, d.Done, d.Checkpoint
 	if t.done {
 		s.done++
 		s.waiting--
@@ -334,17 +331,17 @@
 		if w == nil {
 			w = p.addWorker(worker.Worker{ID: o.Worker, Pool: p.Name, Address: o.Address})
 		}
-		w.silent = now
-		w.surely = now.Add(surely)
+		w.unresponsiveSince = now
+		w.restoredRunsEndAt = now.Add(reserveFor)
 		ref := job.TaskRef{StepRef: s.ref, Index: index}
 		u := &run{
-			job: j, ref: ref, name: ref.String(), number: o.Number, at: w, room: s.spec.Reservation(),
-			phase: ordered, restored: true, pace: fullPace, moved: now,
+			job: j, ref: ref, name: ref.String(), number: o.Number, worker: w, size: s.spec.Reservation(),
+			phase: ordered, restored: true, cpuShare: fullPercent, progressedAt: now,
 		}
 		p.attach(u)
 		if o.Stopping {
 			u.stopping = true
-			p.order(w, Order{Run: u, Stop: true})
+			p.queueOrder(w, Order{Run: u, Stop: true})
 		}
 	}
 }
--- a/services/scheduler/record_crash.go
+++ b/services/scheduler/record_crash.go
@@ -14,31 +14,30 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// keptCrash is what is kept of one crash that is held against a task.
-type keptCrash struct {
-	_      struct{} `cbor:",toarray"`
-	Round  int
-	Step   int
-	Index  int
-	Worker string // its life
-	Weight float64
-	Sure   bool
+// crashRecord is the persisted form of a crash that is attributed to a task.
+type crashRecord struct {
+	_         struct{} `cbor:",toarray"`
+	Round     int
+	Step      int
+	Index     int
+	Worker    string // its incarnation
+	Weight    float64
+	Confirmed bool `cbor:"Sure"`
 }
 
-// addCrashes puts what is held against a job's tasks into the batch, where that has
-// changed.
+// addCrashes adds the crashes attributed to a job's tasks to the batch if they have changed.
 func (b *Batch) addCrashes(j *jobState) error {
-	if !j.crashesChanged && !(j.crashesStored && j.state.Final()) {
+	if !j.crashesChanged && !(j.crashesPersisted && j.state.Final()) {
 		return nil
 	}
 	j.crashesChanged = false
-	kept := j.crashes()
-	if len(kept) == 0 && !j.crashesStored {
+	crashes := j.crashRecords()
+	if len(crashes) == 0 && !j.crashesPersisted {
 		return nil
 	}
 	r := port.Record{Key: keyCrashes + string(j.sub.ID)}
-	if j.crashesStored = len(kept) > 0; j.crashesStored {
-		data, err := codec.Marshal(kept)
+	if j.crashesPersisted = len(crashes) > 0; j.crashesPersisted {
+		data, err := codec.Marshal(crashes)
 		if err != nil {
 			return err
 		}
@@ -48,12 +47,12 @@
 	return nil
 }
 
-// crashes returns what is held against a job's tasks, nothing for one that has ended.
-func (j *jobState) crashes() []keptCrash {
+// crashRecords returns the crashes attributed to a job's tasks, none for a job that has ended.
+func (j *jobState) crashRecords() []crashRecord {
 	if j.state.Final() {
 		return nil
 	}
-	var list []keptCrash
+	var list []crashRecord
 	for n, r := range j.rounds {
 		if r == nil {
 			continue
@@ -61,7 +60,7 @@
 		for i := range r.steps {
 			for t := range r.steps[i].tasks {
 				for _, c := range r.steps[i].tasks[t].crashes {
-					list = append(list, keptCrash{Round: n, Step: i, Index: t, Worker: c.worker.String(), Weight: c.weight, Sure: c.sure})
+					list = append(list, crashRecord{Round: n, Step: i, Index: t, Worker: c.worker.String(), Weight: c.weight, Confirmed: c.confirmed})
 				}
 			}
 		}
@@ -69,18 +68,18 @@
 	return list
 }
 
-// restoreCrashes takes over what an earlier owner has held against tasks.
+// restoreCrashes restores the crashes that an earlier owner attributed to tasks.
 func (p *Pool) restoreCrashes(records []port.Record) error {
 	for _, r := range records {
 		id, isCrashes := strings.CutPrefix(r.Key, keyCrashes)
 		if !isCrashes || len(r.Value) == 0 {
 			continue
 		}
-		var kept []keptCrash
-		if err := codec.Unmarshal(r.Value, &kept); err != nil {
-			return errors.Annotatef(err, "crashes of %s", id)
+		var crashes []crashRecord
+		if err := codec.Unmarshal(r.Value, &crashes); err != nil {
+			return errors.Annotatef(err, "decode crashes of %s", id)
 		}
-		for _, k := range kept {
+		for _, k := range crashes {
 			if err := p.restoreCrash(job.ID(id), k); err != nil {
 				return err
 			}
@@ -89,18 +88,18 @@
 	return nil
 }
 
-func (p *Pool) restoreCrash(id job.ID, k keptCrash) error {
+func (p *Pool) restoreCrash(id job.ID, k crashRecord) error {
 	ref := job.TaskRef{StepRef: job.StepRef{Job: id, Round: k.Round, Step: k.Step}, Index: k.Index}
-	_, t := p.open(ref)
+	_, t := p.openTask(ref)
 	if t == nil {
 		return nil // its job has ended
 	}
-	var life worker.Incarnation
-	if err := life.UnmarshalText([]byte(k.Worker)); err != nil {
-		return errors.Annotatef(err, "crashes of %s", id)
+	var incarnation worker.Incarnation
+	if err := incarnation.UnmarshalText([]byte(k.Worker)); err != nil {
+		return errors.Annotatef(err, "decode crashes of %s", id)
 	}
-	p.jobs[id].crashesStored = true
-	t.crashes = append(t.crashes, crash{worker: life, weight: k.Weight, sure: k.Sure})
-	p.blamed[life] = append(p.blamed[life], ref)
+	p.jobs[id].crashesPersisted = true
+	t.crashes = append(t.crashes, crash{worker: incarnation, weight: k.Weight, confirmed: k.Confirmed})
+	p.attributed[incarnation] = append(p.attributed[incarnation], ref)
 	return nil
 }
