--- a/services/scheduler/restart.go
+++ b/services/scheduler/restart.go
@@ -15,250 +15,250 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// A worker may start again under its id. It then has none of the runs, ends, tickets and
-// tokens of before, and its clock and the numbers of its ends begin anew, while answers to
-// orders, and the id that an order names, do not tell one start from another. Only a list of
-// runs tells which start has answered: looks follow one another, so the newest is right, and
-// an entry in the platform's list, which may be late, only has the worker looked at. Times of
-// day may be set back, so that a smaller start is not an older one.
+// A worker may restart under the same ID. It then has none of its earlier runs, ends, tickets and
+// tokens, and its clock and the numbers of its ends start anew, while responses to orders, and the
+// ID in an order, do not distinguish incarnations. Only a list of runs shows which incarnation has
+// responded: polls are sequential, so the newest list is right, while an entry in the platform's
+// list may be late and only causes a poll. Times of day may be set back, so a smaller start time
+// does not mean an older incarnation.
 //
-// What was sent to the start before may still be carried out by the next one. So once a
-// worker may have started again, the token of its orders is raised, and nothing else is sent
-// until a look with that token was answered: from then on the start that has answered refuses
-// all that was sent before, and what it neither lists nor has ended is over. An order that
-// got no answer has the token raised too, since it may be carried out seconds later.
+// Orders sent to an earlier incarnation may still be carried out by the next one. So once a worker
+// may have restarted, the token of its orders is raised, and only polls are sent until a poll with
+// that token gets a response: from then on the responding incarnation refuses all earlier orders,
+// and any run is over that it neither lists as running nor as ended. An order without a response
+// raises the token too, since it may be carried out seconds later.
 
-// raiseBits is how many bits of an order's token count how often it was raised; those above
+// tokenRaiseBits is the number of bits of an order's token that count its raises; the bits above
 // are the epoch of the pool's owner.
-const raiseBits = 20
+const tokenRaiseBits = 20
 
 // token returns the token of an order to a worker.
-func (p *Pool) token(w *workerState) uint64 { return p.Token<<raiseBits | w.raised }
+func (p *Pool) token(w *workerState) uint64 { return p.Token<<tokenRaiseBits | w.tokenRaises }
 
-// life returns which start of the worker has answered last.
-func (w *workerState) life() worker.Incarnation {
-	return worker.Incarnation{ID: w.info.ID, StartedAt: w.born}
+// incarnation returns the incarnation of the worker that responded last.
+func (w *workerState) incarnation() worker.Incarnation {
+	return worker.Incarnation{ID: w.info.ID, StartedAt: w.startedAt}
 }
 
-// raise has a worker refuse what was sent to it until now, once something was sent that it
-// takes: another start of it would carry that out.
-func (p *Pool) raise(w *workerState) {
-	if w.born == 0 {
+// raiseToken makes a worker refuse all orders sent until now, as soon as it accepts one with the
+// new token: otherwise another incarnation could carry them out.
+func (p *Pool) raiseToken(w *workerState) {
+	if w.startedAt == 0 {
 		return
 	}
-	if p.raised < 1<<raiseBits-1 {
-		p.raised++
+	if p.tokenRaises < 1<<tokenRaiseBits-1 {
+		p.tokenRaises++
 	}
-	w.raised = p.raised
+	w.tokenRaises = p.tokenRaises
 }
 
-// suspectRestart has a worker looked at which may have started again; until it has answered it
-// gets no orders.
+// suspectRestart requests a poll of a worker that may have restarted; it gets no orders until it
+// has responded.
 func (p *Pool) suspectRestart(w *workerState) {
-	if w.born == 0 || w.unproven {
+	if w.startedAt == 0 || w.restartSuspected {
 		return
 	}
-	p.raise(w)
-	w.since, w.unproven, w.wantLook = w.raised, true, true
+	p.raiseToken(w)
+	w.provenFromRaises, w.restartSuspected, w.pollWanted = w.tokenRaises, true, true
 }
 
-// restarted takes the list of another start than the one that has answered last. It returns
-// the state of the worker to go on with, nil where the worker must be looked at once more.
-func (p *Pool) restarted(w *workerState, k Poll, listing worker.PollResult, now time.Time) *workerState {
-	if w.met && !(w.unproven && k.raised >= w.since) {
+// handleRestart processes a list of runs from another incarnation than the one that responded last.
+// It returns the worker state to continue with, nil if the worker must be polled once more.
+func (p *Pool) handleRestart(w *workerState, k Poll, listing worker.PollResult, now time.Time) *workerState {
+	if w.contacted && !(w.restartSuspected && k.tokenRaises >= w.provenFromRaises) {
 		p.suspectRestart(w)
 		return nil
 	}
 	n := p.newWorker(w.info)
 	n.info.Draining, n.info.Remaining = false, 0
-	n.listed, n.must, n.cordonIn = w.listed, w.must, w.cordonIn
+	n.listed, n.maintenanceSince, n.cordonBatch = w.listed, w.maintenanceSince, w.cordonBatch
 	n.info.Address = w.address()
-	if w.hint != nil && w.hint.StartedAt == listing.StartedAt {
-		n.info, n.listed = *w.hint, true
+	if w.otherEntry != nil && w.otherEntry.StartedAt == listing.StartedAt {
+		n.info, n.listed = *w.otherEntry, true
 	}
-	n.born, n.checked, n.raised, n.since = listing.StartedAt, w.born, w.raised, w.since
-	p.Logger.Info().Str("event", "worker").Str("worker", string(w.info.ID)).Int64("born", listing.StartedAt).Int64("born_before", w.born).
-		Int("runs_before", len(w.runs)).Int("runs", len(listing.Runs)).Int("ends", len(listing.Ends)).Int("sequence_before", w.seen).
-		Bool("met", w.met).Uint64("token", p.token(n)).Msg("a worker has started again")
-	p.count(workerRestarted)
-	p.takeOver(w, n, listing, now)
-	p.lifeOver(w, now, endedItself, "it has started again")
+	n.startedAt, n.checkedStart, n.tokenRaises, n.provenFromRaises = listing.StartedAt, w.startedAt, w.tokenRaises, w.provenFromRaises
+	p.Logger.Info().Str("event", "worker").Str("worker", string(w.info.ID)).Int64("born", listing.StartedAt).Int64("born_before", w.startedAt).
+		Int("runs_before", len(w.runs)).Int("runs", len(listing.Runs)).Int("ends", len(listing.Ends)).Int("sequence_before", w.lastEnd).
+		Bool("met", w.contacted).Uint64("token", p.token(n)).Msg("worker restarted")
+	p.increment(workerRestarted)
+	p.adoptRuns(w, n, listing, now)
+	p.endIncarnation(w, now, exitConfirmed, "it has restarted")
 	p.workers[n.info.ID] = n
-	p.compare(n)
-	p.reconnect(n)
+	p.pollRivals(n)
+	p.markReconnect(n)
 	return n
 }
 
-// takeOver has runs go on at a worker's next start that it lists: an order for them was
-// carried out by that one.
-func (p *Pool) takeOver(w, n *workerState, listing worker.PollResult, now time.Time) {
-	take := func(name string, number int) {
+// adoptRuns moves those runs to a worker's next incarnation that this one lists: it has carried out
+// their orders.
+func (p *Pool) adoptRuns(w, n *workerState, listing worker.PollResult, now time.Time) {
+	adopt := func(name string, number int) {
 		u := w.runs[name]
 		if u == nil || u.number != number || !u.sent && !u.restored {
 			return
 		}
 		p.release(u)
 		next := &run{
-			job: u.job, ref: u.ref, name: u.name, number: u.number, at: n, room: u.room, phase: ordered, restored: true,
-			pace: fullPace, moved: now, stopping: u.stopping, suspected: u.suspected,
+			job: u.job, ref: u.ref, name: u.name, number: u.number, worker: n, size: u.size, phase: ordered, restored: true,
+			cpuShare: fullPercent, progressedAt: now, stopping: u.stopping, suspected: u.suspected,
 		}
 		p.attach(next)
 		if next.stopping {
-			p.stops = append(p.stops, next)
+			p.pendingStops = append(p.pendingStops, next)
 		}
 	}
 	for _, r := range listing.Runs {
-		take(r.Task, r.Number)
+		adopt(r.Task, r.Number)
 	}
 	for _, e := range listing.Ends {
-		take(e.Task, e.Number)
+		adopt(e.Task, e.Number)
 	}
 }
 
-// reconnect has a worker reached anew.
-func (p *Pool) reconnect(w *workerState) {
-	if !slices.Contains(p.relink, w.info.ID) {
-		p.relink = append(p.relink, w.info.ID)
+// markReconnect requests a new connection to a worker.
+func (p *Pool) markReconnect(w *workerState) {
+	if !slices.Contains(p.toReconnect, w.info.ID) {
+		p.toReconnect = append(p.toReconnect, w.info.ID)
 	}
 }
 
-// WorkersToReconnect returns the workers that have started again, or have another address, since it was
-// last asked for: what they are reached through is of no use any more.
+// WorkersToReconnect returns the workers that have restarted or changed their address since the
+// last call: connections to them are of no use any more.
 func (p *Pool) WorkersToReconnect() []worker.ID {
-	ids := p.relink
-	p.relink = nil
+	ids := p.toReconnect
+	p.toReconnect = nil
 	return ids
 }
 
-// seeStart takes an entry's word for a worker's start, and reports whether the entry tells of
-// the worker as it is known.
-func (p *Pool) seeStart(w *workerState, info worker.Worker) bool {
-	if !w.met || w.born == 0 || info.StartedAt == w.born {
+// checkStart checks the start time in an entry of a worker, and reports whether the entry describes
+// the known incarnation.
+func (p *Pool) checkStart(w *workerState, info worker.Worker) bool {
+	if !w.contacted || w.startedAt == 0 || info.StartedAt == w.startedAt {
 		return true
 	}
 	if info.StartedAt == 0 {
 		return false
 	}
-	w.hint, w.listed, w.lingers = &info, true, false
-	if info.StartedAt != w.checked {
-		p.reachAt(w, true)
-		p.Logger.Info().Str("event", "worker").Str("worker", string(info.ID)).Int64("born", info.StartedAt).Int64("born_before", w.born).
-			Uint64("revision", info.Revision).Msg("a worker is listed with another start")
+	w.otherEntry, w.listed, w.answersUnlisted = &info, true, false
+	if info.StartedAt != w.checkedStart {
+		p.useAddress(w, true)
+		p.Logger.Info().Str("event", "worker").Str("worker", string(info.ID)).Int64("born", info.StartedAt).Int64("born_before", w.startedAt).
+			Uint64("revision", info.Revision).Msg("worker listed with another start time")
 		p.suspectRestart(w)
-		p.attend(w)
+		p.markPending(w)
 	}
 	return false
 }
 
-// proven notes that a worker has answered as the start that was known.
-func (p *Pool) proven(w *workerState) {
-	if !w.unproven {
+// confirmIncarnation records that a worker responded as the known incarnation.
+func (p *Pool) confirmIncarnation(w *workerState) {
+	if !w.restartSuspected {
 		return
 	}
-	w.unproven = false
-	if w.hint != nil {
-		w.checked = w.hint.StartedAt
-		p.reachAt(w, false)
+	w.restartSuspected = false
+	if w.otherEntry != nil {
+		w.checkedStart = w.otherEntry.StartedAt
+		p.useAddress(w, false)
 	}
-	p.moved = true
+	p.needsPlan = true
 }
 
-// address returns where a worker is reached.
+// address returns the address at which a worker is contacted.
 func (w *workerState) address() string {
-	if w.atHint {
-		return w.hint.Address
+	if w.atOtherEntry {
+		return w.otherEntry.Address
 	}
 	return w.info.Address
 }
 
-// reachAt has a worker reached at the address of the entry that tells of another start, or at
-// the one it has answered from.
-func (p *Pool) reachAt(w *workerState, hint bool) {
-	before := w.address()
-	if w.atHint = hint && w.hint != nil; w.address() != before {
-		p.reconnect(w)
+// useAddress selects the address at which a worker is contacted: that of the entry with another
+// start time, or the one it has responded from.
+func (p *Pool) useAddress(w *workerState, other bool) {
+	previous := w.address()
+	if w.atOtherEntry = other && w.otherEntry != nil; w.address() != previous {
+		p.markReconnect(w)
 	}
 }
 
-// tryElsewhere has the next look at a worker that may have started again go to its other
-// address, where it has two. It reports whether the answer of another worker has come from the
-// address of an entry, which tells nothing of the start that is known.
-func (p *Pool) tryElsewhere(w *workerState, v port.Result) bool {
-	if !w.unproven || w.hint == nil {
+// tryOtherAddress sends the next poll of a worker that may have restarted to its other address, if
+// it has two. It reports whether another worker responded at the address of an entry, which shows
+// nothing about the known incarnation.
+func (p *Pool) tryOtherAddress(w *workerState, v port.Result) bool {
+	if !w.restartSuspected || w.otherEntry == nil {
 		return false
 	}
-	foreign := w.atHint && v == port.OtherIncarnation
-	p.reachAt(w, !w.atHint)
+	foreign := w.atOtherEntry && v == port.OtherIncarnation
+	p.useAddress(w, !w.atOtherEntry)
 	if foreign {
-		w.checked, w.hint, w.wantLook = w.hint.StartedAt, nil, true
+		w.checkedStart, w.otherEntry, w.pollWanted = w.otherEntry.StartedAt, nil, true
 	}
 	return foreign
 }
 
-// judgeLives takes what the first answer of a worker tells of the crashes that are held under
-// its id: the start that answers was only cut off, and others are over.
-func (p *Pool) judgeLives(w *workerState) {
-	for life := range p.blamed {
+// resolveCrashes applies the first response of a worker to the crashes attributed under its ID: the
+// responding incarnation was only cut off, all others have crashed.
+func (p *Pool) resolveCrashes(w *workerState) {
+	for incarnation := range p.attributed {
 		switch {
-		case life.ID != w.info.ID:
-		case life.StartedAt == 0 || life.StartedAt == w.born:
-			p.acquit(life)
+		case incarnation.ID != w.info.ID:
+		case incarnation.StartedAt == 0 || incarnation.StartedAt == w.startedAt:
+			p.clearCrash(incarnation)
 		default:
-			p.confirm(life)
+			p.confirmCrash(incarnation)
 		}
 	}
 }
 
-// forgetWithin is how old a worker's newest list of runs may be for a look to have it forget
-// ends: another start of it would forget its own, which nobody has read. A run of that one
-// must have begun and ended since the list for this to do harm.
-const forgetWithin = 250 * time.Millisecond
+// listingFreshFor is the maximum age of a worker's newest list of runs for a poll to acknowledge
+// ends: another incarnation would discard its own ends, which nobody has read. To cause harm, a run
+// of that incarnation must have started and ended since the list.
+const listingFreshFor = 250 * time.Millisecond
 
-// mayForget reports whether a look may have a worker forget the ends that are kept. One look
-// in two may at least, so that ends are forgotten whatever a look takes.
-func (w *workerState) mayForget(now time.Time) bool {
-	return w.withheld || len(w.runs) == 0 || now.Sub(w.listedAt) <= forgetWithin
+// mayAcknowledge reports whether a poll may tell a worker to discard the ends that are persisted.
+// At least every second poll may, so that ends are discarded however long polls take.
+func (w *workerState) mayAcknowledge(now time.Time) bool {
+	return w.ackWithheld || len(w.runs) == 0 || now.Sub(w.listedAt) <= listingFreshFor
 }
 
-// keyStart begins the keys under which it is kept which start of a worker has the pool's runs;
-// the worker's name follows.
+// keyStart is the prefix of the keys for the start times of workers with runs; the worker's name
+// follows.
 const keyStart = "b/"
 
-// addStarts puts into the batch which starts of workers have runs, where that has changed.
+// addStarts adds changed start times of workers with runs to the batch.
 func (p *Pool) addStarts(b *Batch) error {
-	for _, id := range p.left {
-		if _, kept := p.starts[id]; kept && p.workers[id] == nil {
-			delete(p.starts, id)
+	for _, id := range p.removedWorkers {
+		if _, persisted := p.persistedStarts[id]; persisted && p.workers[id] == nil {
+			delete(p.persistedStarts, id)
 			b.Records = append(b.Records, port.Record{Key: keyStart + string(id)})
 		}
 	}
-	p.left = nil
+	p.removedWorkers = nil
 	for id, w := range p.workers {
-		if w.born == 0 || len(w.runs) == 0 || p.starts[id] == w.born {
+		if w.startedAt == 0 || len(w.runs) == 0 || p.persistedStarts[id] == w.startedAt {
 			continue
 		}
-		data, err := codec.Marshal(w.born)
+		data, err := codec.Marshal(w.startedAt)
 		if err != nil {
 			return err
 		}
-		p.starts[id] = w.born
+		p.persistedStarts[id] = w.startedAt
 		b.Records = append(b.Records, port.Record{Key: keyStart + string(id), Value: data})
 	}
 	return nil
 }
 
-// restoreStarts takes over which starts of workers an earlier owner's runs are at.
+// restoreStarts restores the start times of the workers that have runs of an earlier owner.
 func (p *Pool) restoreStarts(records []port.Record) error {
 	for _, r := range records {
 		id, isStart := strings.CutPrefix(r.Key, keyStart)
 		if !isStart || len(r.Value) == 0 {
 			continue
 		}
-		var born int64
-		if err := codec.Unmarshal(r.Value, &born); err != nil {
-			return errors.Annotatef(err, "start of worker %s", id)
+		var startedAt int64
+		if err := codec.Unmarshal(r.Value, &startedAt); err != nil {
+			return errors.Annotatef(err, "decode start time of worker %s", id)
 		}
-		p.starts[worker.ID(id)] = born
+		p.persistedStarts[worker.ID(id)] = startedAt
 	}
 	return nil
 }
--- a/services/scheduler/restart_test.go
+++ b/services/scheduler/restart_test.go
@@ -15,246 +15,248 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// restartable is what the worker "w" says of itself at one of its starts.
-func restartable(born int64) worker.Worker {
-	return worker.Worker{ID: "w", Instance: "i", Pool: "p", Address: "a", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}, StartedAt: born}
+// workerStartedAt returns the entry of the worker "w" with a start time.
+func workerStartedAt(startedAt int64) worker.Worker {
+	return worker.Worker{ID: "w", Instance: "i", Pool: "p", Address: "a", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}, StartedAt: startedAt}
 }
 
-// serveAs lists the worker "w" and has one of its starts answer a look.
-func (d *desk) serveAs(born int64) {
+// registerStart lists the worker "w" and has one of its incarnations respond to a poll.
+func (d *testPool) registerStart(startedAt int64) {
 	d.t.Helper()
-	d.UpdateWorker(restartable(born))
-	d.answer(born)
+	d.UpdateWorker(workerStartedAt(startedAt))
+	d.confirmStart(startedAt)
 }
 
-// answer has a start of the worker "w" answer looks until it is known.
-func (d *desk) answer(born int64, ends ...worker.EndedRun) {
+// confirmStart has an incarnation of the worker "w" respond to polls until it is known.
+func (d *testPool) confirmStart(startedAt int64, ends ...worker.EndedRun) {
 	d.t.Helper()
-	d.list(born, worker.PollResult{Ends: ends})
+	d.confirmListing(startedAt, worker.PollResult{Ends: ends})
 }
 
-// list has a start of the worker "w" answer looks with a list of runs until it is known.
-func (d *desk) list(born int64, l worker.PollResult) {
+// confirmListing has an incarnation of the worker "w" respond to polls with a list of runs until it
+// is known.
+func (d *testPool) confirmListing(startedAt int64, l worker.PollResult) {
 	d.t.Helper()
-	l.StartedAt = born
-	d.look("w", l, heard)
-	if w := d.workers["w"]; w.unproven {
-		d.look("w", l, heard)
+	l.StartedAt = startedAt
+	d.poll("w", l, accepted)
+	if w := d.workers["w"]; w.restartSuspected {
+		d.poll("w", l, accepted)
 	}
-	assert.Equal(d.t, d.workers["w"].born, born)
+	assert.Equal(d.t, d.workers["w"].startedAt, startedAt)
 }
 
-// give keeps what is planned and has the next order to the worker "w" go out.
-func (d *desk) give() Order {
+// sendOrder persists what is planned and sends the next order to the worker "w".
+func (d *testPool) sendOrder() Order {
 	d.t.Helper()
-	d.keep()
+	d.persist()
 	order, has := d.NextOrder("w", d.now)
 	assert.Assert(d.t, has)
 	d.StartOrder(order, d.now)
 	return order
 }
 
-// newDeskWithRun returns a desk on which the start 1000 of the worker "w" has taken run 1 of the
-// only task of job "1".
-func newDeskWithRun(t *testing.T) *desk {
+// newTestPoolWithRun returns a pool in which the incarnation 1000 of the worker "w" has accepted
+// run 1 of the only task of job "1".
+func newTestPoolWithRun(t *testing.T) *testPool {
 	t.Helper()
-	d := newDesk(t, 1)
-	d.serveAs(1000)
+	d := newTestPool(t, 1)
+	d.registerStart(1000)
 	d.submit("1", 1)
-	d.HandleOrderResponse(d.give(), heard, d.now)
+	d.HandleOrderResponse(d.sendOrder(), accepted, d.now)
 	return d
 }
 
-// TestDoneAfterARestartIsNotBegunAgain guards against TWICE: the numbers of ends begin anew
-// with a worker's start, and an end of a number that was seen before it counts all the same.
-func TestDoneAfterARestartIsNotBegunAgain(t *testing.T) {
-	for name, born := range map[string]int64{"later": 2000, "its time of day was set back": 500} {
+// TestDoneAfterARestartIsNotStartedAgain guards against TWICE: the numbers of ends start anew with
+// each incarnation of a worker, and an end counts even if an end with its number was seen before
+// the restart.
+func TestDoneAfterARestartIsNotStartedAgain(t *testing.T) {
+	for name, startedAt := range map[string]int64{"later": 2000, "its time of day was set back": 500} {
 		t.Run(name, func(t *testing.T) {
-			d := newDeskWithRun(t)
-			d.answer(1000, worker.EndedRun{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: worker.Done})
-			d.keep()
-			d.answer(born)
+			d := newTestPoolWithRun(t)
+			d.confirmStart(1000, worker.EndedRun{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: worker.Done})
+			d.persist()
+			d.confirmStart(startedAt)
 			d.submit("2", 1)
-			d.HandleOrderResponse(d.give(), heard, d.now)
-			d.answer(born, worker.EndedRun{Sequence: 1, Task: "2.0.0.0", Number: 1, Reason: worker.Done})
-			assert.Equal(t, d.state("2"), job.Completed)
-			starts, _ := d.orders("w")
+			d.HandleOrderResponse(d.sendOrder(), accepted, d.now)
+			d.confirmStart(startedAt, worker.EndedRun{Sequence: 1, Task: "2.0.0.0", Number: 1, Reason: worker.Done})
+			assert.Equal(t, d.persistedState("2"), job.Completed)
+			starts, _ := d.takeOrders("w")
 			assert.Equal(t, starts, 0)
 		})
 	}
 }
 
-// TestFailedAfterARestartUsesAttempts guards against BUDGET: a run that has failed at a
-// worker's next start uses up an attempt, whatever its end's number.
-func TestFailedAfterARestartUsesAttempts(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serveAs(1000)
+// TestFailureAfterARestartUsesAnAttempt guards against BUDGET: a run that fails at the next
+// incarnation of a worker uses up an attempt, whatever the number of its end.
+func TestFailureAfterARestartUsesAnAttempt(t *testing.T) {
+	d := newTestPool(t, 1)
+	d.registerStart(1000)
 	d.submit("1", 1)
 	for n := range 3 {
 		d.now = d.now.Add(time.Minute)
-		d.HandleOrderResponse(d.give(), heard, d.now)
-		d.answer(int64(1000+n), worker.EndedRun{Sequence: 1, Task: "1.0.0.0", Number: n + 1, Reason: worker.Failed})
-		d.keep()
-		d.answer(int64(1001 + n))
+		d.HandleOrderResponse(d.sendOrder(), accepted, d.now)
+		d.confirmStart(int64(1000+n), worker.EndedRun{Sequence: 1, Task: "1.0.0.0", Number: n + 1, Reason: worker.Failed})
+		d.persist()
+		d.confirmStart(int64(1001 + n))
 	}
-	assert.Equal(t, d.state("1"), job.Failed)
+	assert.Equal(t, d.persistedState("1"), job.Failed)
 }
 
-// TestEndsAreForgottenByTheStartThatListedThem guards against ends of a worker's next start
-// that a look has it forget unread: a look names no end once they were told, and none where
-// the worker has not listed its runs for so long that a run of another start may have ended.
-func TestEndsAreForgottenByTheStartThatListedThem(t *testing.T) {
-	seen := func(d *desk) int {
-		k, ask, _ := d.BeginPoll("w", 0, d.now)
-		d.EndPoll(k, worker.PollResult{StartedAt: 1000, Runs: []worker.Run{{Task: "1.0.0.1", Number: 1}}}, heard, d.now)
-		return ask.Acknowledged
+// TestEndsAreDiscardedByTheIncarnationThatListedThem guards against a poll that makes the next
+// incarnation of a worker discard unread ends: a poll acknowledges ends only once, and none if the
+// last list of runs is so old that a run of another incarnation may have ended since.
+func TestEndsAreDiscardedByTheIncarnationThatListedThem(t *testing.T) {
+	acknowledged := func(d *testPool) int {
+		k, request, _ := d.BeginPoll("w", 0, d.now)
+		d.EndPoll(k, worker.PollResult{StartedAt: 1000, Runs: []worker.Run{{Task: "1.0.0.1", Number: 1}}}, accepted, d.now)
+		return request.Acknowledged
 	}
-	d := newDesk(t, 1)
-	d.serveAs(1000)
+	d := newTestPool(t, 1)
+	d.registerStart(1000)
 	d.submit("1", 2)
-	d.beginAll("w")
-	d.list(1000, worker.PollResult{
+	d.startAll("w")
+	d.confirmListing(1000, worker.PollResult{
 		Runs: []worker.Run{{Task: "1.0.0.1", Number: 1}}, Ends: []worker.EndedRun{{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: worker.Done}},
 	})
-	d.keep()
-	d.now = d.now.Add(forgetWithin + time.Millisecond)
-	assert.Equal(t, seen(d), 0, "an old list")
-	d.now = d.now.Add(forgetWithin)
-	assert.Equal(t, seen(d), 1, "a fresh list")
-	assert.Equal(t, seen(d), 0, "it was told")
+	d.persist()
+	d.now = d.now.Add(listingFreshFor + time.Millisecond)
+	assert.Equal(t, acknowledged(d), 0, "an old list")
+	d.now = d.now.Add(listingFreshFor)
+	assert.Equal(t, acknowledged(d), 1, "a recent list")
+	assert.Equal(t, acknowledged(d), 0, "already acknowledged")
 }
 
-// TestNothingIsSentBeforeTheStartIsKnown guards against orders to a start of a worker of which
-// nothing is known: one that answers as another start gets a look with a higher token first,
-// which has it refuse whatever was sent before.
-func TestNothingIsSentBeforeTheStartIsKnown(t *testing.T) {
-	d := newDesk(t, 7)
-	d.serveAs(1000)
+// TestNothingIsSentBeforeTheIncarnationIsKnown guards against orders to an unknown incarnation of a
+// worker: if another one responds, it first gets a poll with a higher token, which makes it refuse
+// all earlier orders.
+func TestNothingIsSentBeforeTheIncarnationIsKnown(t *testing.T) {
+	d := newTestPool(t, 7)
+	d.registerStart(1000)
 	d.submit("1", 1)
-	before := d.give()
-	token := d.token(before.Run.at)
+	before := d.sendOrder()
+	token := d.token(before.Run.worker)
 	d.submit("2", 1)
-	d.keep()
-	d.look("w", worker.PollResult{StartedAt: 2000}, heard)
-	starts, _ := d.orders("w")
+	d.persist()
+	d.poll("w", worker.PollResult{StartedAt: 2000}, accepted)
+	starts, _ := d.takeOrders("w")
 	assert.Equal(t, starts, 0)
-	k, ask, _ := d.BeginPoll("w", time.Second, d.now)
-	assert.Assert(t, ask.Token > token && ask.Deadline == 0 && ask.Wait == 0 && ask.Acknowledged == 0, "%+v", ask)
-	d.EndPoll(k, worker.PollResult{StartedAt: 2000}, heard, d.now)
+	k, request, _ := d.BeginPoll("w", time.Second, d.now)
+	assert.Assert(t, request.Token > token && request.Deadline == 0 && request.Wait == 0 && request.Acknowledged == 0, "%+v", request)
+	d.EndPoll(k, worker.PollResult{StartedAt: 2000}, accepted, d.now)
 	d.HandleOrderResponse(before, port.Response{Result: port.TokenTooLow, Clock: time.Hour}, d.now)
-	assert.Assert(t, d.workers["w"].clock < time.Hour, "the clock of a start is not that of the one before")
-	d.keep()
-	starts, _ = d.orders("w")
+	assert.Assert(t, d.workers["w"].clock < time.Hour, "the clock of an incarnation is not that of the previous one")
+	d.persist()
+	starts, _ = d.takeOrders("w")
 	assert.Assert(t, starts > 0)
 }
 
 // TestTokensOfALaterOwnerAreHigher guards against an earlier owner whose raised token a worker
-// takes for the higher one.
+// considers the higher one.
 func TestTokensOfALaterOwnerAreHigher(t *testing.T) {
-	first, second := newDesk(t, 2), newDesk(t, 3)
-	first.serveAs(1000)
-	first.raised = 1<<raiseBits - 2
+	first, second := newTestPool(t, 2), newTestPool(t, 3)
+	first.registerStart(1000)
+	first.tokenRaises = 1<<tokenRaiseBits - 2
 	for range 3 {
-		first.raise(first.workers["w"])
+		first.raiseToken(first.workers["w"])
 	}
-	second.serveAs(1000)
+	second.registerStart(1000)
 	assert.Assert(t, first.token(first.workers["w"]) < second.token(second.workers["w"]))
 }
 
-// TestAnUnansweredOrderRaisesTheToken guards against an order that is carried out seconds late
-// by a worker's next start: the first order that this one gets has a higher token.
-func TestAnUnansweredOrderRaisesTheToken(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serveAs(1000)
+// TestUnansweredOrderRaisesTheToken guards against an order that the next incarnation of a worker
+// carries out seconds late: the first order that this one gets has a higher token.
+func TestUnansweredOrderRaisesTheToken(t *testing.T) {
+	d := newTestPool(t, 1)
+	d.registerStart(1000)
 	d.submit("1", 1)
-	order := d.give()
-	token := d.token(order.Run.at)
+	order := d.sendOrder()
+	token := d.token(order.Run.worker)
 	assert.Assert(t, d.HandleOrderResponse(order, port.Response{Result: port.Unknown}, d.now))
 	d.Retry(order, d.now)
-	assert.Assert(t, d.token(order.Run.at) > token)
+	assert.Assert(t, d.token(order.Run.worker) > token)
 }
 
-// TestARunThatTheNextStartHasTakenGoesOn guards against a second run beside one that a worker's
-// next start has taken, or has ended, before the restart was known.
-func TestARunThatTheNextStartHasTakenGoesOn(t *testing.T) {
+// TestRunAcceptedByTheNextIncarnationContinues guards against a second run beside one that the next
+// incarnation of a worker has accepted, or ended, before the restart was known.
+func TestRunAcceptedByTheNextIncarnationContinues(t *testing.T) {
 	for name, l := range map[string]worker.PollResult{
 		"runs":      {Runs: []worker.Run{{Task: "1.0.0.0", Number: 1}}},
 		"has ended": {Ends: []worker.EndedRun{{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: worker.Done}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newDesk(t, 1)
-			d.serveAs(1000)
+			d := newTestPool(t, 1)
+			d.registerStart(1000)
 			d.submit("1", 1)
-			d.give()
-			d.list(2000, l)
-			d.keep()
-			starts, stops := d.orders("w")
+			d.sendOrder()
+			d.confirmListing(2000, l)
+			d.persist()
+			starts, stops := d.takeOrders("w")
 			assert.Equal(t, starts+stops, 0)
-			d.answer(2000, worker.EndedRun{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: worker.Done})
-			assert.Equal(t, d.state("1"), job.Completed)
+			d.confirmStart(2000, worker.EndedRun{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: worker.Done})
+			assert.Equal(t, d.persistedState("1"), job.Completed)
 			assert.Equal(t, len(d.workers["w"].runs), 0)
 		})
 	}
 }
 
-// TestARunToBeStoppedIsStoppedAtTheNextStart guards against a run that goes on at a worker's
-// next start after its stop was sent to the one before.
-func TestARunToBeStoppedIsStoppedAtTheNextStart(t *testing.T) {
-	d := newDeskWithRun(t)
+// TestStopIsSentToTheNextIncarnation guards against a run that continues at the next incarnation of
+// a worker after its stop was sent to the previous one.
+func TestStopIsSentToTheNextIncarnation(t *testing.T) {
+	d := newTestPoolWithRun(t)
 	_, err := d.Cancel("1", d.now)
 	assert.NilError(t, err)
-	d.keep()
-	d.list(2000, worker.PollResult{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1}}})
-	d.keep()
-	_, stops := d.orders("w")
+	d.persist()
+	d.confirmListing(2000, worker.PollResult{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1}}})
+	d.persist()
+	_, stops := d.takeOrders("w")
 	assert.Equal(t, stops, 1)
 }
 
-// TestAStopRefusedForItsTokenIsSentAgain guards against a run that is taken for stopped though
-// its stop was overtaken by a look with a higher token.
-func TestAStopRefusedForItsTokenIsSentAgain(t *testing.T) {
-	d := newDeskWithRun(t)
+// TestStopRefusedForItsTokenIsSentAgain guards against a run that counts as stopped although its
+// stop was overtaken by a poll with a higher token.
+func TestStopRefusedForItsTokenIsSentAgain(t *testing.T) {
+	d := newTestPoolWithRun(t)
 	_, err := d.Cancel("1", d.now)
 	assert.NilError(t, err)
-	d.keep()
+	d.persist()
 	stop, has := d.NextOrder("w", d.now)
 	assert.Assert(t, has && stop.Stop)
-	d.raise(stop.Run.at)
+	d.raiseToken(stop.Run.worker)
 	assert.Assert(t, !d.HandleOrderResponse(stop, port.Response{Result: port.TokenTooLow}, d.now))
-	_, stops := d.orders("w")
+	_, stops := d.takeOrders("w")
 	assert.Equal(t, stops, 1)
 }
 
-// TestAnEntryOfAnotherStartOnlyHasItLookedAt guards against what an earlier start of a worker
-// has said of itself and is listed late.
-func TestAnEntryOfAnotherStartOnlyHasItLookedAt(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serveAs(1000)
-	d.answer(2000)
-	old := restartable(500)
+// TestEntryOfAnotherIncarnationOnlyCausesAPoll guards against an entry of an earlier incarnation of
+// a worker that is listed late.
+func TestEntryOfAnotherIncarnationOnlyCausesAPoll(t *testing.T) {
+	d := newTestPool(t, 1)
+	d.registerStart(1000)
+	d.confirmStart(2000)
+	old := workerStartedAt(500)
 	old.Draining, old.Address, old.Capacity = true, "b", job.Size{CPU: 1}
 	d.UpdateWorker(old)
-	assert.Assert(t, !d.workers["w"].open(d.now))
+	assert.Assert(t, !d.workers["w"].schedulable(d.now))
 	assert.DeepEqual(t, d.PendingWorkers(), []worker.ID{"w"})
-	d.answer(2000)
-	assert.Assert(t, d.workers["w"].open(d.now))
+	d.confirmStart(2000)
+	assert.Assert(t, d.workers["w"].schedulable(d.now))
 	d.UpdateWorker(old)
-	assert.Assert(t, d.workers["w"].open(d.now), "it was looked at for that start before")
+	assert.Assert(t, d.workers["w"].schedulable(d.now), "that start time was checked by a poll before")
 	d.UpdateWorker(worker.Worker{ID: "w", Pool: "p"})
-	assert.Equal(t, d.workers["w"].info.Address, "a", "an entry without a start where others had one")
+	assert.Equal(t, d.workers["w"].info.Address, "a", "an entry without a start time where others had one")
 }
 
-// TestAnEntryOfTheNextStartIsUsedOnceThatAnswers guards against the room, the labels and the
-// address of the start before.
-func TestAnEntryOfTheNextStartIsUsedOnceThatAnswers(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serveAs(1000)
+// TestEntryOfTheNextIncarnationIsUsedOnceItResponds guards against using the capacity, the labels
+// and the address of the previous incarnation.
+func TestEntryOfTheNextIncarnationIsUsedOnceItResponds(t *testing.T) {
+	d := newTestPool(t, 1)
+	d.registerStart(1000)
 	d.WorkersToReconnect()
-	next := restartable(2000)
+	next := workerStartedAt(2000)
 	next.Address, next.Capacity = "b", job.Size{CPU: 1000}
 	d.UpdateWorker(next)
 	assert.Equal(t, d.workers["w"].info.Address, "a")
-	d.answer(2000)
+	d.confirmStart(2000)
 	w, _ := d.Worker("w")
 	assert.Assert(t, w.Address == "b" && w.Capacity == next.Capacity, "%+v", w)
 	assert.DeepEqual(t, d.WorkersToReconnect(), []worker.ID{"w"})
@@ -263,196 +265,196 @@
 	assert.DeepEqual(t, d.WorkersToReconnect(), []worker.ID{"w"})
 }
 
-// TestTheNextStartIsReachedAtItsOwnAddress guards against a worker that is never reached again: its
-// next start has another address, and nothing answers at the one before. An address of another
-// worker ends nothing.
-func TestTheNextStartIsReachedAtItsOwnAddress(t *testing.T) {
-	d := newDeskWithRun(t)
+// TestNextIncarnationIsContactedAtItsAddress guards against a worker that is never contacted again:
+// its next incarnation has another address, and nothing responds at the previous one. A response
+// from another worker's address ends no run.
+func TestNextIncarnationIsContactedAtItsAddress(t *testing.T) {
+	d := newTestPoolWithRun(t)
 	at := func() string {
 		d.WorkersToReconnect()
 		w, _ := d.Worker("w")
 		return w.Address
 	}
-	next := restartable(2000)
+	next := workerStartedAt(2000)
 	next.Address = "b"
 	d.UpdateWorker(next)
 	assert.Equal(t, at(), "b")
-	d.look("w", worker.PollResult{}, port.Response{Result: port.Unreachable})
+	d.poll("w", worker.PollResult{}, port.Response{Result: port.Unreachable})
 	assert.Equal(t, at(), "a")
-	d.look("w", worker.PollResult{}, port.Response{Result: port.Unreachable})
+	d.poll("w", worker.PollResult{}, port.Response{Result: port.Unreachable})
 	assert.Equal(t, at(), "b")
-	d.look("w", worker.PollResult{}, otherLife)
+	d.poll("w", worker.PollResult{}, otherIncarnation)
 	assert.Equal(t, at(), "a")
 	assert.Equal(t, d.waitingTasks("1"), 0, "another worker ends no run")
 	next.StartedAt = 3000
 	d.UpdateWorker(next)
-	d.answer(3000)
+	d.confirmStart(3000)
 	assert.Equal(t, at(), "b")
 	assert.Equal(t, d.waitingTasks("1"), 1)
 }
 
-// TestAWorkerThatIsListedAgainIsNotForgotten guards against an instance that nobody uses or
-// maintains any more: its worker was listed no longer, has restarted and is listed again, all
-// while it is not reached.
-func TestAWorkerThatIsListedAgainIsNotForgotten(t *testing.T) {
-	d := newDeskWithRun(t)
-	d.look("w", worker.PollResult{}, port.Response{Result: port.Unknown})
+// TestWorkerThatIsListedAgainIsKept guards against an instance that is neither used nor maintained
+// any more: its worker was no longer listed, has restarted and is listed again, all while it is
+// unreachable.
+func TestWorkerThatIsListedAgainIsKept(t *testing.T) {
+	d := newTestPoolWithRun(t)
+	d.poll("w", worker.PollResult{}, port.Response{Result: port.Unknown})
 	d.UnlistWorker("w")
-	d.UpdateWorker(restartable(2000))
+	d.UpdateWorker(workerStartedAt(2000))
 	d.now = d.now.Add(time.Minute)
 	d.ExpireLeases(d.now)
-	d.answer(2000)
-	assert.Assert(t, d.workers["w"].open(d.now))
+	d.confirmStart(2000)
+	assert.Assert(t, d.workers["w"].schedulable(d.now))
 }
 
-// TestAListWithoutItsStartIsNotTaken guards against an answer that can't be told from that of
-// another start, where the worker has told its start before.
-func TestAListWithoutItsStartIsNotTaken(t *testing.T) {
-	d := newDeskWithRun(t)
-	d.look("w", worker.PollResult{}, heard)
+// TestListingWithoutAStartTimeIsIgnored guards against a response that may be from another
+// incarnation, if the worker has reported its start time before.
+func TestListingWithoutAStartTimeIsIgnored(t *testing.T) {
+	d := newTestPoolWithRun(t)
+	d.poll("w", worker.PollResult{}, accepted)
 	assert.Equal(t, d.waitingTasks("1"), 0)
-	assert.Assert(t, !d.workers["w"].silent.IsZero())
+	assert.Assert(t, !d.workers["w"].unresponsiveSince.IsZero())
 }
 
-// TestATicketOfTheStartBeforeIsNotUsed guards against a ticket that was asked for before a
-// worker has restarted: it holds for the start that it was given for.
-func TestATicketOfTheStartBeforeIsNotUsed(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serveAs(1000)
+// TestTicketOfThePreviousIncarnationIsNotUsed guards against a ticket that was requested before a
+// worker restarted: it is valid for the incarnation that it was issued for.
+func TestTicketOfThePreviousIncarnationIsNotUsed(t *testing.T) {
+	d := newTestPool(t, 1)
+	d.registerStart(1000)
 	d.submit("1", 1)
 	d.jobs["1"].queue.Advice = &config.Advice{TicketValidity: time.Hour}
 	d.Plan(d.now)
 	s := &d.jobs["1"].rounds[0].steps[0]
 	q, has := d.NextAdviceRequest(d.now)
 	assert.Assert(t, has)
-	d.answer(2000)
+	d.confirmStart(2000)
 	d.HandleAdvice(q, []port.Ticket{{Worker: "w", Text: "t"}}, nil, d.now)
-	assert.Assert(t, !s.admits(d.workers["w"], d.now))
+	assert.Assert(t, !s.allowedOn(d.workers["w"], d.now))
 }
 
-// TestEachStartThatCrashesCountsOnce guards against a task that crashes its workers without
-// end: a worker that comes back under its id has crashed, and does so anew.
-func TestEachStartThatCrashesCountsOnce(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serveAs(1000)
+// TestEachIncarnationThatCrashesCountsOnce guards against a task that crashes its workers
+// endlessly: a worker that returns under the same ID has crashed, and may crash again.
+func TestEachIncarnationThatCrashesCountsOnce(t *testing.T) {
+	d := newTestPool(t, 1)
+	d.registerStart(1000)
 	d.submit("1", 1)
 	for n := range 2 {
 		d.now = d.now.Add(10 * time.Second)
-		d.HandleOrderResponse(d.give(), heard, d.now)
-		d.answer(int64(1001 + n))
-		d.answer(int64(1001 + n))
+		d.HandleOrderResponse(d.sendOrder(), accepted, d.now)
+		d.confirmStart(int64(1001 + n))
+		d.confirmStart(int64(1001 + n))
 		assert.Equal(t, len(d.firstTask("1").crashes), n+1)
 	}
-	assert.Equal(t, d.state("1"), job.Failed)
+	assert.Equal(t, d.persistedState("1"), job.Failed)
 }
 
-// TestAStartThatTheNextStartRefusesIsNoCrash guards against LOST: a start of a run reaches a worker
-// that has restarted and been looked at since, so the run has never begun.
-func TestAStartThatTheNextStartRefusesIsNoCrash(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serveAs(1000)
+// TestStartRefusedByTheNextIncarnationIsNoCrash guards against LOST: a start order reaches a worker
+// that has restarted and been polled since, so the run never started.
+func TestStartRefusedByTheNextIncarnationIsNoCrash(t *testing.T) {
+	d := newTestPool(t, 1)
+	d.registerStart(1000)
 	d.submit("1", 1)
-	order := d.give()
-	d.answer(2000)
+	order := d.sendOrder()
+	d.confirmStart(2000)
 	assert.Equal(t, len(d.firstTask("1").crashes), 1)
 	d.HandleOrderResponse(order, port.Response{Result: port.TokenTooLow}, d.now)
 	assert.Equal(t, len(d.firstTask("1").crashes), 0)
 }
 
-// TestAWorkerThatWasSilentAndComesBack guards against a crash that is taken back since a worker
-// of that id answers, and against one that is counted though it was only cut off.
-func TestAWorkerThatWasSilentAndComesBack(t *testing.T) {
-	for born, crashes := range map[int64]int{1000: 0, 2000: 1} {
-		for name, listed := range map[string]bool{"listed": true, "listed no longer": false} {
-			d := newDeskWithRun(t)
+// TestUnresponsiveWorkerThatReturns guards against a crash that is cleared because a worker with
+// the same ID responds, and against one that counts although the worker was only cut off.
+func TestUnresponsiveWorkerThatReturns(t *testing.T) {
+	for startedAt, crashes := range map[int64]int{1000: 0, 2000: 1} {
+		for name, listed := range map[string]bool{"listed": true, "no longer listed": false} {
+			d := newTestPoolWithRun(t)
 			if !listed {
 				d.UnlistWorker("w")
 			}
-			d.cutOff("w")
-			d.keep()
+			d.disconnect("w")
+			d.persist()
 			assert.Equal(t, len(d.firstTask("1").crashes), 1)
-			d.serveAs(born)
-			assert.Equal(t, len(d.firstTask("1").crashes), crashes, "start %d, %s", born, name)
+			d.registerStart(startedAt)
+			assert.Equal(t, len(d.firstTask("1").crashes), crashes, "start time %d, %s", startedAt, name)
 			if crashes > 0 {
-				assert.Assert(t, d.firstTask("1").crashes[0].sure)
+				assert.Assert(t, d.firstTask("1").crashes[0].confirmed)
 			}
 		}
 	}
 }
 
-// TestACrashIsSeenByTheNextOwner guards against a crash that nobody counts: a worker restarts
-// under its id while its pool changes owners. One that the owner before has counted is not
+// TestCrashIsNoticedByTheNextOwner guards against a crash that nobody counts: a worker restarts
+// under the same ID while its pool changes owners. One that the previous owner has counted is not
 // counted again.
-func TestACrashIsSeenByTheNextOwner(t *testing.T) {
+func TestCrashIsNoticedByTheNextOwner(t *testing.T) {
 	for name, c := range map[string]struct {
-		counted bool
-		born    int64
-		crashes int
+		counted   bool
+		startedAt int64
+		crashes   int
 	}{"not counted": {false, 2000, 1}, "counted": {true, 2000, 1}, "no restart": {false, 1000, 0}} {
 		t.Run(name, func(t *testing.T) {
-			kept := map[string]port.Record{}
-			first := newDesk(t, 1)
-			keep := func() {
-				for _, r := range first.keep() {
-					kept[r.Key] = r
+			persisted := map[string]port.Record{}
+			first := newTestPool(t, 1)
+			persist := func() {
+				for _, r := range first.persist() {
+					persisted[r.Key] = r
 				}
 			}
-			first.serveAs(1000)
+			first.registerStart(1000)
 			first.submit("1", 1)
-			keep()
-			first.beginAll("w")
+			persist()
+			first.startAll("w")
 			if c.counted {
-				first.answer(2000)
-				keep()
+				first.confirmStart(2000)
+				persist()
 			}
 			var records []port.Record
-			for _, r := range kept {
+			for _, r := range persisted {
 				records = append(records, r)
 			}
-			second := newDesk(t, 2)
+			second := newTestPool(t, 2)
 			assert.NilError(t, second.Restore(records, second.now, time.Minute))
-			second.serveAs(c.born)
+			second.registerStart(c.startedAt)
 			assert.Equal(t, len(second.firstTask("1").crashes), c.crashes)
 		})
 	}
 }
 
-// TestStartsAreKeptAsLongAsTheirWorkers guards against records of workers that are gone.
-func TestStartsAreKeptAsLongAsTheirWorkers(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serveAs(1000)
+// TestStartTimesAreKeptAsLongAsTheirWorkers guards against records of workers that are gone.
+func TestStartTimesAreKeptAsLongAsTheirWorkers(t *testing.T) {
+	d := newTestPool(t, 1)
+	d.registerStart(1000)
 	d.submit("1", 1)
-	assert.Assert(t, has(d.keep(), keyStart+"w", true))
-	d.beginAll("w")
-	d.answer(1000, worker.EndedRun{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: worker.Done})
-	assert.Assert(t, !has(d.keep(), keyStart+"w", true))
+	assert.Assert(t, hasRecord(d.persist(), keyStart+"w", true))
+	d.startAll("w")
+	d.confirmStart(1000, worker.EndedRun{Sequence: 1, Task: "1.0.0.0", Number: 1, Reason: worker.Done})
+	assert.Assert(t, !hasRecord(d.persist(), keyStart+"w", true))
 	d.UnlistWorker("w")
-	assert.Assert(t, has(d.keep(), keyStart+"w", false))
+	assert.Assert(t, hasRecord(d.persist(), keyStart+"w", false))
 }
 
-// TestAnOrderToAnInstanceEndsItsStartOnly guards against a start of a worker that is taken for
-// ended, and whose runs begin elsewhere, since its instance was maintained before.
-func TestAnOrderToAnInstanceEndsItsStartOnly(t *testing.T) {
-	for born, ended := range map[int64]bool{1000: true, 999: false, 0: false} {
-		d := newDeskWithRun(t)
-		d.EndIncarnations([]worker.Incarnation{{ID: "w", StartedAt: born}}, d.now)
-		assert.Equal(t, d.workers["w"] == nil, ended, "start %d", born)
+// TestOrderToAnInstanceEndsOnlyItsIncarnation guards against an incarnation of a worker that counts
+// as ended, and whose runs start elsewhere, because its instance was maintained before.
+func TestOrderToAnInstanceEndsOnlyItsIncarnation(t *testing.T) {
+	for startedAt, ended := range map[int64]bool{1000: true, 999: false, 0: false} {
+		d := newTestPoolWithRun(t)
+		d.EndIncarnations([]worker.Incarnation{{ID: "w", StartedAt: startedAt}}, d.now)
+		assert.Equal(t, d.workers["w"] == nil, ended, "start time %d", startedAt)
 		if !ended {
 			assert.DeepEqual(t, d.PendingWorkers(), []worker.ID{"w"})
 		}
 	}
 }
 
-// TestACordonOutlivesARestart guards against placing on a worker whose instance is being
-// emptied, since it has restarted under its id.
-func TestACordonOutlivesARestart(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serveAs(1000)
-	asked := CordonRequest{Epoch: 1, Number: 1, Workers: []CordonedWorker{{ID: "w", MaintenanceRequired: true}}}
-	_, err := d.Cordon(asked, d.now)
+// TestCordonSurvivesARestart guards against placing tasks on a worker that has restarted under the
+// same ID while its instance is being emptied.
+func TestCordonSurvivesARestart(t *testing.T) {
+	d := newTestPool(t, 1)
+	d.registerStart(1000)
+	request := CordonRequest{Epoch: 1, Number: 1, Workers: []CordonedWorker{{ID: "w", MaintenanceRequired: true}}}
+	_, err := d.Cordon(request, d.now)
 	assert.NilError(t, err)
-	d.keep()
-	d.answer(2000)
-	assert.Assert(t, !d.workers["w"].open(d.now) && !d.workers["w"].must.IsZero())
-	assert.Assert(t, d.Report(asked, d.now).Workers[0].Empty)
+	d.persist()
+	d.confirmStart(2000)
+	assert.Assert(t, !d.workers["w"].schedulable(d.now) && !d.workers["w"].maintenanceSince.IsZero())
+	assert.Assert(t, d.Report(request, d.now).Workers[0].Empty)
 }
--- a/services/scheduler/run.go
+++ b/services/scheduler/run.go
@@ -9,47 +9,47 @@
 	"github.com/yardbridge/yardbridge/models/job"
 )
 
-// phase is how far a run is.
+// phase is the progress of a run.
 type phase uint8
 
 // The phases of a run.
 const (
-	planned phase = iota // to be kept before its order goes out
-	ordered              // its order is on its way or was not answered
-	running              // its worker has taken it
-	over                 // its room is free
+	planned  phase = iota // waiting to be persisted before its order is sent
+	ordered               // its order is in transit or got no response
+	running               // accepted by its worker
+	finished              // its capacity is free
 )
 
-// run is one start of a task on a worker.
+// run is one execution of a task on a worker.
 type run struct {
 	job    *jobState
 	ref    job.TaskRef
-	name   string // of the task
+	name   string // name of the task
 	number int
-	at     *workerState
-	room   job.Size
+	worker *workerState
+	size   job.Size
 	phase  phase
-	batch  uint64 // that carries it
-
-	kept     time.Time // when the append that kept it was sent, from which its order counts
-	sentAt   time.Time // when its order was sent last
-	tries    int       // how often it was
-	sent     bool      // an order for it was sent
-	unsure   bool      // an order for it got no answer: it may begin yet
-	stray    bool      // listed by its worker and not known
-	restored bool      // taken over from an earlier owner
-	stopping bool      // it is to be stopped
-	stopped  bool      // its worker has taken the stop
-	ack      uint64    // stamp of the answer that told the newest of it
-	began    time.Time
-	ticket   ticket    // the zero one where none is needed
-	percent  int       // of its work, as listed last
-	moved    time.Time // when the percent changed last
-	load     int
-	saved    string // newest checkpoint listed
-	pace     int    // share of its speed that it was told to work at
-
-	suspected bool // workers had crashed under its task when it was planned
+	batch  uint64 // batch that carries it
+
+	persistedAt  time.Time // when the append that persisted it was sent; the age of its order counts from here
+	sentAt       time.Time // when its order was last sent
+	sendCount    int       // how often its order was sent
+	sent         bool      // an order for it was sent
+	unconfirmed  bool      // an order for it got no response: it may still start
+	orphan       bool      // listed by its worker but not known here
+	restored     bool      // restored from an earlier owner's records
+	stopping     bool      // it is to be stopped
+	stopAccepted bool      // its worker has accepted the stop
+	ackSeq       uint64    // sequence of the newest response about it
+	startedAt    time.Time
+	ticket       ticket    // zero where none is needed
+	percent      int       // completed work, as listed last
+	progressedAt time.Time // when percent last changed
+	load         int
+	checkpoint   string // newest checkpoint listed
+	cpuShare     int    // CPU share in percent that its worker was told to apply
+
+	suspected bool // crashes were attributed to its task when it was planned
 }
 
 // step returns the state of the run's step.
@@ -60,73 +60,72 @@
 // task returns the state of the run's task.
 func (u *run) task() *taskState { return &u.step().tasks[u.ref.Index] }
 
-// age returns for how long the run has been known to be at work, 0 where its
-// beginning was not seen.
+// age returns how long the run has been known to be running, 0 if its start was not seen.
 func (u *run) age(now time.Time) time.Duration {
-	if u.began.IsZero() {
+	if u.startedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(u.began)
+	return now.Sub(u.startedAt)
 }
 
-// fullPace is the pace of a run that was told nothing.
-const fullPace = 100
+// fullPercent is the CPU share of a run without a limit, and the percentage of complete work.
+const fullPercent = 100
 
-// plan begins a run of a task on a worker; its order goes out once the batch
-// that carries it is kept.
-func (p *Pool) plan(j *jobState, s *stepState, index int, w *workerState, now time.Time) *run {
+// planRun creates a run of a task on a worker; its order is sent once the batch that carries it is
+// persisted.
+func (p *Pool) planRun(j *jobState, s *stepState, index int, w *workerState, now time.Time) *run {
 	t := &s.tasks[index]
 	t.number++
 	ref := job.TaskRef{StepRef: s.ref, Index: index}
 	u := &run{
-		job: j, ref: ref, name: ref.String(), number: t.number, at: w, room: s.spec.Reservation(),
-		batch: p.batch, pace: fullPace, moved: now, ticket: w.tickets[s.ref], suspected: t.suspected(),
+		job: j, ref: ref, name: ref.String(), number: t.number, worker: w, size: s.spec.Reservation(),
+		batch: p.batch, cpuShare: fullPercent, progressedAt: now, ticket: w.tickets[s.ref], suspected: t.suspected(),
 	}
 	p.attach(u)
-	p.allowed.begins(j.sub.Customer, now)
-	p.planned = append(p.planned, u)
-	p.touch(j)
+	p.allowances.noteStart(j.sub.Customer, now)
+	p.plannedRuns = append(p.plannedRuns, u)
+	p.markDirty(j)
 	return u
 }
 
-// attach counts a run at its worker and its task.
+// attach adds a run to the accounts of its worker and its task.
 func (p *Pool) attach(u *run) {
 	s, t := u.step(), u.task()
 	if len(t.runs) == 0 && !t.done {
 		s.waiting--
 	}
 	t.runs = append(t.runs, u)
-	u.job.live++
-	p.allowed.count(u.job.sub.Customer, s.spec.Size)
+	u.job.activeRuns++
+	p.allowances.addUse(u.job.sub.Customer, s.spec.Size)
 	if s.spec.MaxPerWorker > 0 {
-		if s.perHost == nil {
-			s.perHost = make(map[*workerState]int)
+		if s.runsByWorker == nil {
+			s.runsByWorker = make(map[*workerState]int)
 		}
-		s.perHost[u.at]++
+		s.runsByWorker[u.worker]++
 	}
-	u.at.runs[u.name] = u
-	u.at.used = u.at.used.Plus(u.room)
+	u.worker.runs[u.name] = u
+	u.worker.used = u.worker.used.Plus(u.size)
 	if s.spec.LongRunning {
-		u.at.lasting++
+		u.worker.longRunningRuns++
 	}
 	if u.suspected {
-		u.at.suspects++
+		u.worker.suspectRuns++
 	}
 }
 
-// release frees a run's room; the task waits again unless it is done or another
-// run of it is under way.
+// release frees the capacity of a run; the task waits again unless it is done or another run of it
+// is active.
 func (p *Pool) release(u *run) {
-	if u.phase == over {
+	if u.phase == finished {
 		return
 	}
-	u.phase = over
-	if u.stray {
+	u.phase = finished
+	if u.orphan {
 		return
 	}
-	u.job.live--
+	u.job.activeRuns--
 	s, t := u.step(), u.task()
-	p.allowed.count(u.job.sub.Customer, job.Size{}.Minus(s.spec.Size))
+	p.allowances.addUse(u.job.sub.Customer, job.Size{}.Minus(s.spec.Size))
 	for i, o := range t.runs {
 		if o == u {
 			t.runs = append(t.runs[:i], t.runs[i+1:]...)
@@ -136,47 +135,46 @@
 	if len(t.runs) == 0 && !t.done {
 		s.waiting++
 	}
-	if s.perHost != nil {
-		s.perHost[u.at]--
+	if s.runsByWorker != nil {
+		s.runsByWorker[u.worker]--
 	}
-	delete(u.at.runs, u.name)
-	u.at.used = u.at.used.Minus(u.room)
+	delete(u.worker.runs, u.name)
+	u.worker.used = u.worker.used.Minus(u.size)
 	if s.spec.LongRunning {
-		u.at.lasting--
+		u.worker.longRunningRuns--
 	}
 	if u.suspected {
-		u.at.suspects--
+		u.worker.suspectRuns--
 	}
-	p.moved = true
-	p.touch(u.job)
+	p.needsPlan = true
+	p.markDirty(u.job)
 }
 
-// stop has a run stopped; one whose order has not gone out never begins. The
-// order goes out once it is kept that the run is to be stopped: another owner must
-// not take it for one that goes on.
-func (p *Pool) stop(u *run, now time.Time, why string) {
-	if u.stopping || u.phase == over {
+// stopRun stops a run; one whose order was not sent never starts. The stop is sent once it is
+// persisted: otherwise a later owner would keep the run going.
+func (p *Pool) stopRun(u *run, now time.Time, reason string) {
+	if u.stopping || u.phase == finished {
 		return
 	}
-	p.Logger.Info().Str("event", "stop").Str("task", u.name).Int("run", u.number).Str("worker", string(u.at.info.ID)).
-		Dur("age", u.age(now)).Str("why", why).Msg("a run is stopped")
+	p.Logger.Info().Str("event", "stop").Str("task", u.name).Int("run", u.number).Str("worker", string(u.worker.info.ID)).
+		Dur("age", u.age(now)).Str("why", reason).Msg("stopping run")
 	if u.phase == planned {
 		p.release(u)
 		return
 	}
 	u.stopping = true
-	p.stops = append(p.stops, u)
-	p.touch(u.job)
+	p.pendingStops = append(p.pendingStops, u)
+	p.markDirty(u.job)
 }
 
-// began notes that a task of a job has begun.
-func (p *Pool) began(u *run, _ time.Time) {
-	if u.job.began {
+// noteStarted records that a task of a job has started.
+func (p *Pool) noteStarted(u *run, _ time.Time) {
+	if u.job.started {
 		return
 	}
-	u.job.began = true
+	u.job.started = true
 	if u.job.state == job.Queued {
 		u.job.state = job.Running
 	}
-	p.touch(u.job)
+	p.markDirty(u.job)
 }
--- a/services/scheduler/sharing.go
+++ b/services/scheduler/sharing.go
@@ -9,126 +9,125 @@
 	"github.com/yardbridge/yardbridge/models/job"
 )
 
-// Tasks that fill take the processors that others on their worker leave unused,
-// and disturb what serves users there. Where a serving task is over its target,
-// what fills beside it is slowed down at once, and let up again slowly.
+// Backfill tasks use the CPU that other tasks on their worker leave unused, and disturb
+// latency-sensitive tasks there. If one of those exceeds its latency objective, the backfill tasks
+// beside it are throttled at once, and get their share back slowly.
 
-// The gains of the control of paces. A look comes about every half second; two
-// that are over the target in a row bring the pace to a quarter, three to nothing.
+// The parameters of the CPU share control. A poll ends about every half second; two successive
+// polls over the objective reduce the share to a quarter, three to nothing.
 const (
-	paceDown   = 0.5                     // of the pace, at each look that is over a target
-	paceFloor  = 15                      // percent; a pace below it is none
-	paceUp     = 10                      // percent, after each calm stretch
-	paceCalm   = 1500 * time.Millisecond // that all must be well below their targets before the pace rises
-	calmShare  = 0.8                     // of the target, that is well below it
-	pacedFresh = 900 * time.Millisecond  // from a change until looks show what it has brought
+	shareDecrease   = 0.5                     // factor for the share, at each poll over an objective
+	minShare        = 15                      // percent; a lower share becomes 0
+	shareIncrease   = 10                      // percent, after each calm period
+	calmTime        = 1500 * time.Millisecond // how long all must be well below their objectives before the share rises
+	calmLoad        = 0.8                     // load below this fraction of the objective counts as well below it
+	shareSettleTime = 900 * time.Millisecond  // from a change until polls show its effect
 )
 
-// sharing is how the tasks on one worker get along.
-type sharing struct {
-	pace    int       // percent, of what fills there
-	held    bool      // the pace is not the full one
-	calm    time.Time // since when all are well below their targets, zero while one is not
-	changed time.Time // when the pace was changed last
+// cpuSharing is the state of the CPU share control on one worker.
+type cpuSharing struct {
+	percent   int       // percent, of the backfill tasks there
+	limited   bool      // the share is below 100 percent
+	calmSince time.Time // since when all are well below their objectives, zero if one is not
+	changedAt time.Time // last change of the share
 }
 
-// now returns the pace of what fills on the worker.
-func (s *sharing) now() int {
-	if !s.held {
-		return fullPace
+// current returns the CPU share of backfill tasks on the worker.
+func (s *cpuSharing) current() int {
+	if !s.limited {
+		return fullPercent
 	}
-	return s.pace
+	return s.percent
 }
 
-// serves reports whether a step's tasks serve users who wait.
+// servesUsers reports whether a step's tasks serve users who wait.
 func servesUsers(s *job.Step) bool { return s.LongRunning && s.LatencyObjective > 0 }
 
-// share sets the pace of what fills on a worker by what a look has shown.
-func (p *Pool) share(w *workerState, now time.Time) {
-	fills, over, well := false, false, true
+// adjustCPUShare sets the CPU share of backfill tasks on a worker by the results of a poll.
+func (p *Pool) adjustCPUShare(w *workerState, now time.Time) {
+	hasBackfill, exceeded, calm := false, false, true
 	for _, u := range w.runs {
-		if u.stray || u.phase != running {
+		if u.orphan || u.phase != running {
 			continue
 		}
 		s := u.step().spec
 		if s.Backfill {
-			fills = true
+			hasBackfill = true
 		}
-		if servesUsers(s) && u.percent >= fullPace {
-			tail := time.Duration(u.load) * time.Millisecond
-			over = over || tail > s.LatencyObjective
-			well = well && float64(tail) < calmShare*float64(s.LatencyObjective)
+		if servesUsers(s) && u.percent >= fullPercent {
+			latency := time.Duration(u.load) * time.Millisecond
+			exceeded = exceeded || latency > s.LatencyObjective
+			calm = calm && float64(latency) < calmLoad*float64(s.LatencyObjective)
 		}
 	}
-	if !fills {
+	if !hasBackfill {
 		return
 	}
-	w.sharing.follow(over, well, now)
-	p.pace(w, now)
+	w.cpuSharing.update(exceeded, calm, now)
+	p.sendCPUShares(w, now)
 }
 
-// follow takes what a look has shown into the pace.
-func (s *sharing) follow(over, well bool, now time.Time) {
-	if !well {
-		s.calm = time.Time{}
-	} else if s.calm.IsZero() {
-		s.calm = now
+// update adjusts the share by the results of a poll.
+func (s *cpuSharing) update(exceeded, calm bool, now time.Time) {
+	if !calm {
+		s.calmSince = time.Time{}
+	} else if s.calmSince.IsZero() {
+		s.calmSince = now
 	}
 	switch {
-	case over && now.Sub(s.changed) >= pacedFresh:
-		s.set(int(float64(s.now())*paceDown), now)
-	case well && s.held && now.Sub(s.calm) >= paceCalm && now.Sub(s.changed) >= paceCalm:
-		s.set(s.pace+paceUp, now)
+	case exceeded && now.Sub(s.changedAt) >= shareSettleTime:
+		s.set(int(float64(s.current())*shareDecrease), now)
+	case calm && s.limited && now.Sub(s.calmSince) >= calmTime && now.Sub(s.changedAt) >= calmTime:
+		s.set(s.percent+shareIncrease, now)
 	}
 }
 
-func (s *sharing) set(pace int, now time.Time) {
-	if pace < paceFloor && pace < s.now() {
-		pace = 0
+func (s *cpuSharing) set(percent int, now time.Time) {
+	if percent < minShare && percent < s.current() {
+		percent = 0
 	}
-	s.pace = min(pace, fullPace)
-	s.held = s.pace < fullPace
-	s.changed = now
+	s.percent = min(percent, fullPercent)
+	s.limited = s.percent < fullPercent
+	s.changedAt = now
 }
 
-// pace orders the pace of what fills on a worker where it has another.
-func (p *Pool) pace(w *workerState, now time.Time) {
+// sendCPUShares orders the CPU share of the worker for backfill tasks that have a different one.
+func (p *Pool) sendCPUShares(w *workerState, now time.Time) {
 	for _, u := range w.runs {
-		if u.stray || u.phase != running || u.stopping || !u.step().spec.Backfill || u.pace == w.sharing.now() {
+		if u.orphan || u.phase != running || u.stopping || !u.step().spec.Backfill || u.cpuShare == w.cpuSharing.current() {
 			continue
 		}
-		u.pace = w.sharing.now()
+		u.cpuShare = w.cpuSharing.current()
 		p.Logger.Info().Str("event", "pace").Str("task", u.name).Int("run", u.number).Str("worker", string(w.info.ID)).
-			Int("percent", u.pace).Dur("since", now.Sub(w.sharing.changed)).Msg("what fills gets another pace")
-		p.order(w, Order{Run: u, CPUShare: true})
+			Int("percent", u.cpuShare).Dur("since", now.Sub(w.cpuSharing.changedAt)).Msg("CPU share of a backfill task changed")
+		p.queueOrder(w, Order{Run: u, CPUShare: true})
 	}
 }
 
-// What counts for a worker when tasks share it, against the share of it that is in
-// use.
+// Costs for tasks that share a worker; the worker's used share is at most 1.
 const (
-	besideServing = 3 // for a task that fills, a serving one
-	besideFilling = 1 // for a serving task, one that fills
+	costBesideServing  = 3 // for a backfill task: each latency-sensitive task there
+	costBesideBackfill = 1 // for a latency-sensitive task: each backfill task there
 )
 
-// shareScore returns what sharing counts for a task on a worker. What serves and
-// what fills is spread, since each disturbs the others.
-func (s *stepState) shareScore(w *workerState) float64 {
+// sharingScore returns the effect of sharing on the score of a worker for a task. Latency-sensitive
+// and backfill tasks are spread, since each disturbs the others.
+func (s *stepState) sharingScore(w *workerState) float64 {
 	if !s.spec.Backfill && !servesUsers(s.spec) {
 		return 0
 	}
 	score, cpu := 0.0, s.spec.Size.CPU
 	for _, u := range w.runs {
-		if u.stray {
+		if u.orphan {
 			continue
 		}
 		o := u.step().spec
 		cpu += o.Size.CPU
 		switch {
 		case s.spec.Backfill && servesUsers(o):
-			score -= besideServing
+			score -= costBesideServing
 		case servesUsers(s.spec) && o.Backfill:
-			score -= besideFilling
+			score -= costBesideBackfill
 		}
 	}
 	return score - 2*float64(cpu)/float64(max(w.info.Capacity.CPU, 1))
--- a/services/scheduler/stale_test.go
+++ b/services/scheduler/stale_test.go
@@ -14,16 +14,15 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// What a start was decided on is old after this, the users' bound for new work on a
-// worker that leaves; the one for work of a cancelled job is 3 s.
-const decidedLongAgo = 2 * time.Second
+// staleAge is the users' limit for new work on a worker that leaves, after which a start is
+// outdated; the one for work of a cancelled job is 3 s.
+const staleAge = 2 * time.Second
 
-// waitingTasks returns how many tasks of a job of one step wait.
-func (d *desk) waitingTasks(id job.ID) int { return d.jobs[id].rounds[0].steps[0].waiting }
+// waitingTasks returns the number of waiting tasks of a job with one step.
+func (d *testPool) waitingTasks(id job.ID) int { return d.jobs[id].rounds[0].steps[0].waiting }
 
-// unanswered takes the next order of a worker, which must be a start, and lets it
-// get no answer.
-func (d *desk) unanswered(id worker.ID) {
+// loseResponse sends the next order of a worker, which must be a start and gets no response.
+func (d *testPool) loseResponse(id worker.ID) {
 	d.t.Helper()
 	order, has := d.NextOrder(id, d.now)
 	assert.Assert(d.t, has && !order.Stop)
@@ -33,8 +32,8 @@
 	}
 }
 
-// orders returns what is left of a worker's orders.
-func (d *desk) orders(id worker.ID) (starts, stops int) {
+// takeOrders takes the remaining orders of a worker and counts them.
+func (d *testPool) takeOrders(id worker.ID) (starts, stops int) {
 	for {
 		order, has := d.NextOrder(id, d.now)
 		switch {
@@ -48,89 +47,89 @@
 	}
 }
 
-// TestStartThatWaitedIsNotGiven: a worker was silent while orders to it waited.
-// When it answers again, none of them goes out: one that was never sent gives its
-// task back, one that may have been carried out is stopped.
-func TestStartThatWaitedIsNotGiven(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serve()
+// TestStartThatWaitedIsNotSent: a worker was unresponsive while orders to it were queued. When it
+// responds again, no start is sent: the task of one that was never sent waits again, and one that
+// may have been carried out is stopped.
+func TestStartThatWaitedIsNotSent(t *testing.T) {
+	d := newTestPool(t, 1)
+	d.registerWorker()
 	for _, id := range []job.ID{"1", "2", "3"} {
 		d.submit(id, 1)
 	}
-	d.keep()
-	d.unanswered("w")
-	d.unanswered("w") // the second without an answer: the worker counts as silent
-	d.now = d.now.Add(decidedLongAgo)
-	d.keep()
-	d.look("w", worker.PollResult{}, heard)
-	starts, stops := d.orders("w")
-	assert.Equal(t, starts, 0, "a start is given long after it was decided")
+	d.persist()
+	d.loseResponse("w")
+	d.loseResponse("w") // the second one without a response: the worker counts as unresponsive
+	d.now = d.now.Add(staleAge)
+	d.persist()
+	d.poll("w", worker.PollResult{}, accepted)
+	starts, stops := d.takeOrders("w")
+	assert.Equal(t, starts, 0, "a start is sent long after it was decided")
 	assert.Equal(t, d.waitingTasks("3"), 1, "a task whose order was never sent does not wait again")
-	d.keep()
-	_, later := d.orders("w")
-	assert.Equal(t, stops+later, 2, "starts that may be carried out yet are not stopped")
+	d.persist()
+	_, more := d.takeOrders("w")
+	assert.Equal(t, stops+more, 2, "starts that may still be carried out are not stopped")
 }
 
-// TestTasksOfASilentWorkerGoElsewhere: a second order without an answer makes a
-// worker silent; what was not sent there is free at once for another one.
-func TestTasksOfASilentWorkerGoElsewhere(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serve()
+// TestTasksOfAnUnresponsiveWorkerGoElsewhere: a second order without a response makes a worker
+// unresponsive; tasks whose orders were not sent there are available at once for another one.
+func TestTasksOfAnUnresponsiveWorkerGoElsewhere(t *testing.T) {
+	d := newTestPool(t, 1)
+	d.registerWorker()
 	for _, id := range []job.ID{"1", "2", "3"} {
 		d.submit(id, 1)
 	}
-	d.keep()
-	d.unanswered("w")
-	d.unanswered("w")
+	d.persist()
+	d.loseResponse("w")
+	d.loseResponse("w")
 	assert.Equal(t, d.waitingTasks("3"), 1)
 }
 
-// TestNoStartOnAWorkerThatLeaves: a worker said that it drains after a task was
-// placed there and before its order went out.
+// TestNoStartOnAWorkerThatLeaves: a worker announces that it drains after a task was placed there
+// and before its order is sent.
 func TestNoStartOnAWorkerThatLeaves(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serve()
+	d := newTestPool(t, 1)
+	d.registerWorker()
 	d.submit("1", 1)
 	d.submit("2", 1)
-	d.keep()
-	d.unanswered("w")
-	leaving := d.workers["w"].info
-	leaving.Draining = true
-	d.UpdateWorker(leaving)
-	d.look("w", worker.PollResult{}, heard)
-	starts, _ := d.orders("w")
-	assert.Equal(t, starts, 0, "a task is begun on a worker that leaves")
-	d.keep()
-	_, stops := d.orders("w")
-	assert.Equal(t, stops, 1, "the start that may be carried out yet is not stopped")
+	d.persist()
+	d.loseResponse("w")
+	draining := d.workers["w"].info
+	draining.Draining = true
+	d.UpdateWorker(draining)
+	d.poll("w", worker.PollResult{}, accepted)
+	starts, _ := d.takeOrders("w")
+	assert.Equal(t, starts, 0, "a task is started on a worker that leaves")
+	d.persist()
+	_, stops := d.takeOrders("w")
+	assert.Equal(t, stops, 1, "the start that may still be carried out is not stopped")
 	assert.Equal(t, d.waitingTasks("2"), 1)
 }
 
-// TestStartIsSoonTooLate: a worker that gets a start late must refuse it; the order
-// says so by its deadline, which is not that of the lease.
-func TestStartIsSoonTooLate(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serve()
+// TestStartHasAnEarlyDeadline: a worker that receives a start late must refuse it; the order's
+// deadline ensures that, and is not the one of the lease.
+func TestStartHasAnEarlyDeadline(t *testing.T) {
+	d := newTestPool(t, 1)
+	d.registerWorker()
 	d.submit("1", 1)
-	d.keep()
+	d.persist()
 	d.now = d.now.Add(500 * time.Millisecond)
 	order, has := d.NextOrder("w", d.now)
 	assert.Assert(t, has)
-	at := heard.Clock + 500*time.Millisecond // the worker's clock now
+	at := accepted.Clock + 500*time.Millisecond // the worker's clock now
 	deadline := d.StartOrder(order, d.now).Deadline
-	assert.Assert(t, deadline > at+time.Second, "it leaves no time for its way and for the first look")
-	assert.Assert(t, deadline <= at+2*time.Second, "a worker may begin it %s after it was sent", deadline-at)
+	assert.Assert(t, deadline > at+time.Second, "it leaves no time for the transit and for the first poll")
+	assert.Assert(t, deadline <= at+2*time.Second, "a worker may start it %s after it was sent", deadline-at)
 }
 
-// TestALookHasTheLease: what a start does not ask for the next look does.
-func TestALookHasTheLease(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serve()
+// TestPollExtendsTheLease: a start order does not ask for a lease, the next poll does.
+func TestPollExtendsTheLease(t *testing.T) {
+	d := newTestPool(t, 1)
+	d.registerWorker()
 	d.submit("1", 1)
-	d.keep()
+	d.persist()
 	order, _ := d.NextOrder("w", d.now)
 	d.StartOrder(order, d.now)
-	d.HandleOrderResponse(order, heard, d.now)
-	_, ask, _ := d.BeginPoll("w", 0, d.now)
-	assert.Equal(t, ask.Deadline, heard.Clock+testLimits.Lease)
+	d.HandleOrderResponse(order, accepted, d.now)
+	_, request, _ := d.BeginPoll("w", 0, d.now)
+	assert.Equal(t, request.Deadline, accepted.Clock+testLimits.Lease)
 }
--- a/services/scheduler/suspect.go
+++ b/services/scheduler/suspect.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// A suspect is a task under which workers have crashed. Where it is begun decides what a
-// further crash tells, and what is lost by it.
+// A suspect is a task with crashes attributed to it. Where it is started determines what another
+// crash shows, and what is lost by it.
 
-// The bounds within which a suspect keeps tasks waiting.
+// The limits on the time for which a suspect delays tasks.
 const (
-	// holdMost is the longest that others are kept from a worker with a suspect.
-	holdMost = time.Second
-	// holdStep is after which time workers with suspects are planned for again.
-	holdStep = 100 * time.Millisecond
-	// apartMost is how long a suspect waits for a worker without another suspect.
-	apartMost = time.Second
+	// maxProbation is the longest time that other tasks are kept from a worker with a suspect.
+	maxProbation = time.Second
+	// probationReplanInterval is the time between plans while workers have suspects.
+	probationReplanInterval = 100 * time.Millisecond
+	// maxSeparation is how long a suspect waits for a worker without another suspect.
+	maxSeparation = time.Second
 )
 
-// onProbation reports whether a worker has a run that may crash it yet: a suspect's that
-// was not seen at work for long enough.
+// onProbation reports whether a worker has a run that may still crash it: a suspect that has not
+// been seen running for long enough.
 func (w *workerState) onProbation(now time.Time) bool {
-	if w.suspects == 0 {
+	if w.suspectRuns == 0 {
 		return false
 	}
 	for _, u := range w.runs {
@@ -37,41 +37,41 @@
 
 func (u *run) onProbation(now time.Time) bool {
 	switch {
-	case u.stray || !u.suspected:
+	case u.orphan || !u.suspected:
 		return false
-	case u.began.IsZero():
-		return now.Sub(u.moved) <= holdMost
+	case u.startedAt.IsZero():
+		return now.Sub(u.progressedAt) <= maxProbation
 	}
-	return u.at.heardAt.Sub(u.began) < freshTime && now.Sub(u.began) < holdMost
+	return u.worker.lastContact.Sub(u.startedAt) < startupTime && now.Sub(u.startedAt) < maxProbation
 }
 
-// What counts against a worker for a suspect, against the share of it that is in use.
+// Costs of a worker for a suspect; the worker's used share is at most 1.
 const (
-	besideRun     = 1  // each run that would be lost with it
-	besideSuspect = 20 // another suspect there, from which it could not be told
-	crashedThere  = 10 // a crash of that worker, which may be the cause itself, is held against the task
+	costPerRun        = 1  // for each run that would be lost with it
+	costBesideSuspect = 20 // for another suspect there, since a crash would not tell them apart
+	costCrashedThere  = 10 // for a crash of that worker attributed to the task: the worker may be the cause itself
 )
 
-// risk returns what counts against beginning a suspect on a worker.
-func (t *taskState) risk(w *workerState) float64 {
+// suspectCost returns the cost of starting a suspect on a worker.
+func (t *taskState) suspectCost(w *workerState) float64 {
 	if !t.suspected() {
 		return 0
 	}
-	against := besideRun * float64(len(w.runs)) * float64(len(t.crashes))
-	if w.suspects > 0 {
-		against += besideSuspect
+	cost := costPerRun * float64(len(w.runs)) * float64(len(t.crashes))
+	if w.suspectRuns > 0 {
+		cost += costBesideSuspect
 	}
 	if slices.ContainsFunc(t.crashes, func(c crash) bool { return c.worker.ID == w.info.ID }) {
-		against += crashedThere
+		cost += costCrashedThere
 	}
-	return against
+	return cost
 }
 
-// endangers reports whether a task and a worker are better kept apart: the worker may
-// crash yet, or the task may crash it while another suspect is there. Neither waits long.
-func (t *taskState) endangers(w *workerState, now time.Time) bool {
+// keepApart reports whether a task should not be placed on a worker: the worker may still crash, or
+// the task may crash it while another suspect is there. Neither delay is long.
+func (t *taskState) keepApart(w *workerState, now time.Time) bool {
 	if w.onProbation(now) {
 		return true
 	}
-	return t.suspected() && now.Sub(t.suspectSince) < apartMost && w.suspects > 0
+	return t.suspected() && now.Sub(t.suspectSince) < maxSeparation && w.suspectRuns > 0
 }
--- a/services/scheduler/takeover_test.go
+++ b/services/scheduler/takeover_test.go
@@ -18,53 +18,53 @@
 
 var testLimits = Limits{Lease: 4 * time.Second, StopTime: 400 * time.Millisecond, Retention: time.Minute}
 
-// testConfig has one queue that leads to the pool "p".
+// testConfig has one queue, of the pool "p".
 var testConfig = config.New(1,
 	[]config.Queue{{Name: "q", Host: "h", PathPrefix: "/q/", Pool: "p", MaxAttempts: 3, Stretch: 1.5, BaseObjective: time.Second}},
 	[]config.Pool{{Name: "p"}}, config.Limits{},
 )
 
-// desk is a pool with a clock that a test moves.
-type desk struct {
+// testPool is a pool with a clock that a test sets.
+type testPool struct {
 	*Pool
 	t   *testing.T
 	now time.Time
 }
 
-func newDesk(t *testing.T, token uint64) *desk {
-	d := &desk{New("p", token, testLimits, log.Nop()), t, time.Unix(1000, 0)}
+func newTestPool(t *testing.T, token uint64) *testPool {
+	d := &testPool{New("p", token, testLimits, log.Nop()), t, time.Unix(1000, 0)}
 	d.Configure(testConfig)
 	return d
 }
 
-// heard is a worker's answer to a look or an order that it has taken.
-var heard = port.Response{Result: port.Accepted, Clock: 100 * time.Second}
+// accepted is a worker's response to a poll or an order that it has accepted.
+var accepted = port.Response{Result: port.Accepted, Clock: 100 * time.Second}
 
-// serve lists the worker "w" and has it answer a look.
-func (d *desk) serve() {
+// registerWorker lists the worker "w" and has it respond to a poll.
+func (d *testPool) registerWorker() {
 	d.t.Helper()
 	d.UpdateWorker(worker.Worker{ID: "w", Instance: "i", Pool: "p", Address: "a", Capacity: job.Size{CPU: 4000, MemoryMB: 4000}})
-	d.look("w", worker.PollResult{}, heard)
+	d.poll("w", worker.PollResult{}, accepted)
 }
 
-// submit hands in a job of one step with tasks of a minute.
-func (d *desk) submit(id job.ID, count int) {
+// submit submits a job of one step with tasks of a minute.
+func (d *testPool) submit(id job.ID, count int) {
 	d.Submit(job.Submission{ID: id, Queue: "h/q/", Steps: []job.Step{{Count: count, Size: job.Size{CPU: 1000}, Estimate: time.Minute}}}, d.now)
 }
 
 // firstTask returns the first task of a job of one step.
-func (d *desk) firstTask(id job.ID) *taskState { return &d.jobs[id].rounds[0].steps[0].tasks[0] }
+func (d *testPool) firstTask(id job.ID) *taskState { return &d.jobs[id].rounds[0].steps[0].tasks[0] }
 
-// look has a worker answer one look.
-func (d *desk) look(id worker.ID, listing worker.PollResult, a port.Response) {
+// poll has a worker respond to one poll.
+func (d *testPool) poll(id worker.ID, listing worker.PollResult, a port.Response) {
 	d.t.Helper()
 	k, _, known := d.BeginPoll(id, 0, d.now)
 	assert.Assert(d.t, known)
 	d.EndPoll(k, listing, a, d.now)
 }
 
-// keep plans and keeps what has changed, and returns its records.
-func (d *desk) keep() []port.Record {
+// persist plans, persists what has changed and returns its records.
+func (d *testPool) persist() []port.Record {
 	d.t.Helper()
 	d.Plan(d.now)
 	b, err := d.Collect()
@@ -76,76 +76,76 @@
 	return b.Records
 }
 
-// TestLeaseOfAnEarlierOwnerHolds has a new owner hear a worker once and then find
-// no way there: what the earlier owner let run may run on until its lease is over.
+// TestLeaseOfAnEarlierOwnerHolds has a new owner contact a worker once, after which it is
+// unreachable: a run of the earlier owner may continue until its lease expires.
 func TestLeaseOfAnEarlierOwnerHolds(t *testing.T) {
-	first := newDesk(t, 1)
-	first.serve()
+	first := newTestPool(t, 1)
+	first.registerWorker()
 	first.submit("1", 1)
-	records := first.keep()
+	records := first.persist()
 	order, has := first.NextOrder("w", first.now)
 	assert.Assert(t, has)
 	first.StartOrder(order, first.now)
 
-	second := newDesk(t, 2)
+	second := newTestPool(t, 2)
 	assert.NilError(t, second.Restore(records, second.now, time.Minute))
 	running := worker.PollResult{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1}}}
-	second.look("w", running, heard)
-	second.look("w", worker.PollResult{}, port.Response{Result: port.Unreachable})
+	second.poll("w", running, accepted)
+	second.poll("w", worker.PollResult{}, port.Response{Result: port.Unreachable})
 	second.now = second.now.Add(testLimits.Lease)
 	second.ExpireLeases(second.now)
-	assert.Equal(t, len(second.firstTask("1").runs), 1, "the run is given up while its lease holds")
+	assert.Equal(t, len(second.firstTask("1").runs), 1, "the run is given up while its lease is valid")
 	second.now = second.now.Add(time.Second)
 	second.ExpireLeases(second.now)
 	assert.Equal(t, len(second.firstTask("1").runs), 0)
 }
 
-// TestLookThatWasNotSentTakesBackOnlyItself has a look find no way to a worker
-// after an order with the same deadline went there.
-func TestLookThatWasNotSentTakesBackOnlyItself(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serve()
+// TestUnsentPollReversesOnlyItsOwnDeadline has a poll fail to reach a worker after an order with
+// the same deadline was sent there.
+func TestUnsentPollReversesOnlyItsOwnDeadline(t *testing.T) {
+	d := newTestPool(t, 1)
+	d.registerWorker()
 	d.submit("1", 1)
-	d.keep()
+	d.persist()
 	order, _ := d.NextOrder("w", d.now)
-	d.HandleOrderResponse(order, heard, d.now)
-	d.now = d.now.Add(testLimits.Lease) // what the first look found must be over
-	d.submit("2", 1)                    // one that was kept earlier would be too old to go out
-	d.keep()
+	d.HandleOrderResponse(order, accepted, d.now)
+	d.now = d.now.Add(testLimits.Lease) // the deadline of the first poll must be over
+	d.submit("2", 1)                    // one that was persisted earlier would be too old to be sent
+	d.persist()
 	k, _, _ := d.BeginPoll("w", 0, d.now)
 	order, _ = d.NextOrder("w", d.now)
 	sent := d.StartOrder(order, d.now)
 	d.EndPoll(k, worker.PollResult{}, port.Response{Result: port.Unreachable}, d.now)
-	assert.Equal(t, d.workers["w"].deadline, sent.Deadline)
+	assert.Equal(t, d.workers["w"].latestDeadline, sent.Deadline)
 }
 
-// TestNoStartOfACancelledJob has an order to begin a run get no answer, and the
-// job cancelled before the order is given again.
+// TestNoStartOfACancelledJob has a start order get no response, and the job cancelled before the
+// order is sent again.
 func TestNoStartOfACancelledJob(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serve()
+	d := newTestPool(t, 1)
+	d.registerWorker()
 	d.submit("1", 1)
-	d.keep()
+	d.persist()
 	order, _ := d.NextOrder("w", d.now)
 	d.StartOrder(order, d.now)
 	assert.Assert(t, d.HandleOrderResponse(order, port.Response{Result: port.Unknown}, d.now))
 	d.Retry(order, d.now)
 	_, err := d.Cancel("1", d.now)
 	assert.NilError(t, err)
-	d.keep()
-	d.look("w", worker.PollResult{}, heard)
+	d.persist()
+	d.poll("w", worker.PollResult{}, accepted)
 	order, has := d.NextOrder("w", d.now)
 	assert.Assert(t, has)
-	assert.Assert(t, order.Stop, "a run of a cancelled job is begun")
+	assert.Assert(t, order.Stop, "a run of a cancelled job is started")
 }
 
-// TestTwoStartsThatFindNoWay has two orders find no way to their worker at a time:
-// both tasks wait for another.
-func TestTwoStartsThatFindNoWay(t *testing.T) {
-	d := newDesk(t, 1)
-	d.serve()
+// TestTwoUnreachableStarts has two orders fail to reach their worker at the same time: both tasks
+// wait for another one.
+func TestTwoUnreachableStarts(t *testing.T) {
+	d := newTestPool(t, 1)
+	d.registerWorker()
 	d.submit("1", 2)
-	d.keep()
+	d.persist()
 	first, _ := d.NextOrder("w", d.now)
 	d.StartOrder(first, d.now)
 	second, _ := d.NextOrder("w", d.now)
@@ -155,24 +155,24 @@
 	assert.Equal(t, d.jobs["1"].rounds[0].steps[0].waiting, 2)
 }
 
-// TestAnswerToALaterStartOfARunningTask has an order get no answer, a look show that
-// its run has begun, and the order given again come to nothing: the run goes on.
-func TestAnswerToALaterStartOfARunningTask(t *testing.T) {
+// TestResponseToARepeatedStartOfARunningTask has an order get no response, a poll show that its run
+// has started, and the repeated order fail: the run continues.
+func TestResponseToARepeatedStartOfARunningTask(t *testing.T) {
 	for _, v := range []port.Result{port.Unreachable, port.Refused, port.Unknown, port.DeadlinePassed, port.NoCapacity, port.TokenTooLow} {
-		d := newDesk(t, 1)
-		d.serve()
+		d := newTestPool(t, 1)
+		d.registerWorker()
 		d.submit("1", 1)
-		d.keep()
+		d.persist()
 		order, _ := d.NextOrder("w", d.now)
 		d.StartOrder(order, d.now)
 		assert.Assert(t, d.HandleOrderResponse(order, port.Response{Result: port.Unknown}, d.now))
 		d.Retry(order, d.now)
 		order, _ = d.NextOrder("w", d.now)
 		d.StartOrder(order, d.now)
-		d.look("w", worker.PollResult{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1}}}, heard)
+		d.poll("w", worker.PollResult{Runs: []worker.Run{{Task: "1.0.0.0", Number: 1}}}, accepted)
 		assert.Assert(t, !d.HandleOrderResponse(order, port.Response{Result: v}, d.now), "%s", v)
 		assert.Equal(t, d.jobs["1"].rounds[0].steps[0].waiting, 0, "%s", v)
-		d.look("w", worker.PollResult{}, heard)
+		d.poll("w", worker.PollResult{}, accepted)
 		assert.Equal(t, d.jobs["1"].rounds[0].steps[0].waiting, 1, "%s: a run that is gone is not noticed", v)
 	}
 }
--- a/services/scheduler/ticket_test.go
+++ b/services/scheduler/ticket_test.go
@@ -14,24 +14,24 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// TestStartWhoseTicketRanOutIsNotGiven: an order waited until its ticket had run out.
-// Its worker would refuse it, which is priced.
-func TestStartWhoseTicketRanOutIsNotGiven(t *testing.T) {
+// TestStartWithAnExpiredTicketIsNotSent: an order waited until its ticket expired. Its worker would
+// refuse it, and the call is charged for.
+func TestStartWithAnExpiredTicketIsNotSent(t *testing.T) {
 	const valid = 500 * time.Millisecond
-	d := newDesk(t, 1)
+	d := newTestPool(t, 1)
 	d.Configure(config.New(2, []config.Queue{{
 		Name: "q", Host: "h", PathPrefix: "/q/", Pool: "p", MaxAttempts: 3, Stretch: 1.5, BaseObjective: time.Second,
 		Advice: &config.Advice{TicketValidity: valid},
 	}}, []config.Pool{{Name: "p"}}, config.Limits{}))
-	d.serve()
+	d.registerWorker()
 	d.submit("1", 1)
 	d.Plan(d.now)
 	q, has := d.NextAdviceRequest(d.now)
 	assert.Assert(t, has)
 	d.HandleAdvice(q, []port.Ticket{{Worker: "w", Text: "t"}}, nil, d.now)
-	d.keep()
+	d.persist()
 	d.now = d.now.Add(valid)
-	starts, _ := d.orders("w")
-	assert.Equal(t, starts, 0, "a start with a ticket that has run out is given")
+	starts, _ := d.takeOrders("w")
+	assert.Equal(t, starts, 0, "a start with an expired ticket is sent")
 	assert.Equal(t, d.waitingTasks(job.ID("1")), 1)
 }
--- a/services/scheduler/worker.go
+++ b/services/scheduler/worker.go
@@ -13,169 +13,168 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// workerState is one worker, what runs there and what is known of it.
+// workerState is a worker, its runs and what is known of it.
 type workerState struct {
-	info   worker.Worker
-	runs   map[string]*run // by the task's name
-	used   job.Size
-	strays job.Size // room of runs there that are not ours to keep, by the last look
-
-	strayUses []strayUse // what their customers use by them
-	lasting   int        // runs of tasks that last
-
-	suspects int     // runs of tasks under which workers had crashed before
-	out      []Order // to be given, oldest first
-
-	met      bool          // it has answered, so its clock is known and no lower token counts
-	listed   bool          // it stands in the platform's list
-	lingers  bool          // it has answered since it stood there last: it leaves as planned
-	clock    time.Duration // of the worker, as it answered last
-	clockAt  time.Time     // when that answer came
-	heardAt  time.Time     // when an answer came last that this life has given
-	rivals   bool          // other lives of its instance are known
-	deadline time.Duration // the latest on the worker's clock that was sent
-
-	orderedTo  time.Duration // the latest of those that an order has sent
-	extendedBy uint64        // stamp of the look that has extended the deadline last, 0 for none
-	silent     time.Time     // since when it has not answered, zero while it does
-	doubted    bool          // nothing has been heard since an order got no answer
-	surely     time.Time     // when all that an earlier owner began there is over, unless it has answered
-	waiting    bool          // it is among the workers with new orders
-	cordoned   bool          // nothing is placed there, and what can be moved is
-	cordonIn   uint64        // batch that carries the newest change of that
-	must       time.Time     // since when its instance must be maintained, zero where it need not
-	wantLook   bool          // somebody waits for a look
-	looked     time.Time     // when the last look ended
-	seen       int           // newest end that was taken in
-	kept       int           // newest end that is kept for good
-	told       int           // newest end that the worker was told to forget
-	trust      trust
-	sharing    sharing
-	tickets    map[job.StepRef]ticket
-
-	born     int64          // which of its starts has answered last, 0 where that is not known
-	raised   uint64         // part of the token of its orders
-	since    uint64         // the same as it was when the worker may have started again last: answers to earlier looks tell nothing of that
-	unproven bool           // it may have started again: only looks are sent
-	hint     *worker.Worker // newest entry that tells of another start
-	atHint   bool           // it is reached at the address of that entry
-	checked  int64          // start that was listed, and is another than the one that has answered
-	listedAt time.Time      // when it has listed its runs last
-	withheld bool           // the last look could have had it forget ends, and has not
+	info       worker.Worker
+	runs       map[string]*run // by task name
+	used       job.Size
+	orphanSize job.Size // size of its orphan runs, by the last poll
+
+	orphanUses      []orphanUse // what customers use by orphan runs
+	longRunningRuns int         // number of runs of long-running tasks
+
+	suspectRuns int     // number of runs whose tasks have crashes attributed to them
+	orders      []Order // queued orders, oldest first
+
+	contacted       bool          // it has responded, so its clock is known and lower tokens are refused
+	listed          bool          // it is in the platform's list
+	answersUnlisted bool          // it has responded after it left the list: a planned exit
+	clock           time.Duration // the worker's clock in its last response
+	clockAt         time.Time     // when that response came
+	lastContact     time.Time     // time of the last response from this incarnation
+	hasRivals       bool          // other incarnations of its instance are known
+	latestDeadline  time.Duration // latest deadline sent, on the worker's clock
+
+	startDeadlineSent time.Duration // latest deadline sent with an order
+	extendedBy        uint64        // sequence of the poll that extended the deadline last, 0 for none
+	unresponsiveSince time.Time     // since when it has not responded, zero while it does
+	orderUnanswered   bool          // no response since an order timed out
+	restoredRunsEndAt time.Time     // when all runs of an earlier owner have ended, unless it has responded
+	queued            bool          // it is among the pending workers
+	cordoned          bool          // nothing is placed there, and movable runs are evacuated
+	cordonBatch       uint64        // batch that carries the newest cordon change
+	maintenanceSince  time.Time     // since when its instance needs maintenance, zero if it does not
+	pollWanted        bool          // a poll is requested
+	polledAt          time.Time     // when the last poll ended
+	lastEnd           int           // newest end processed
+	persistedEnd      int           // newest end persisted
+	acknowledgedEnd   int           // newest end that the worker was told to discard
+	health            health
+	cpuSharing        cpuSharing
+	tickets           map[job.StepRef]ticket
+
+	startedAt        int64          // start time of the incarnation that responded last, 0 if unknown
+	tokenRaises      uint64         // part of the token of its orders
+	provenFromRaises uint64         // value of tokenRaises at the last possible restart: responses to earlier polls prove nothing
+	restartSuspected bool           // it may have restarted: only polls are sent
+	otherEntry       *worker.Worker // newest entry with another start time
+	atOtherEntry     bool           // it is contacted at the address of otherEntry
+	checkedStart     int64          // start time that was listed but does not belong to the incarnation that responded
+	listedAt         time.Time      // when it last listed its runs
+	ackWithheld      bool           // the last poll could have acknowledged ends, but did not
 }
 
-// clockSlack is by how much a worker's clock may be slow.
-const clockSlack = 0.02
+// maxClockDrift is how much slower than this node's clock a worker's clock may run.
+const maxClockDrift = 0.02
 
-// clockTolerance is how much less than at least a worker's clock may show in an
-// answer: its way back takes a few milliseconds. One that was held up for longer would
-// set the clock back, and orders that rest on it would be refused as late.
+// clockTolerance is how far below the expected minimum the worker's clock in a response may be: a
+// response is in transit for a few milliseconds. A response that was delayed for longer would set
+// the clock back, and the worker would refuse orders as late whose deadlines were derived from it.
 const clockTolerance = 100 * time.Millisecond
 
-// lapseSlack is added to the time at which a lease has surely run out.
-const lapseSlack = 50 * time.Millisecond
+// expiryMargin is added to the time by which a lease has run out.
+const expiryMargin = 50 * time.Millisecond
 
-// now returns what the worker's clock shows at least.
-func (w *workerState) now(now time.Time) time.Duration {
-	return w.clock + time.Duration(float64(now.Sub(w.clockAt))*(1-clockSlack))
+// clockNow returns the minimum that the worker's clock shows now.
+func (w *workerState) clockNow(now time.Time) time.Duration {
+	return w.clock + time.Duration(float64(now.Sub(w.clockAt))*(1-maxClockDrift))
 }
 
-// extend returns the deadline for a lease from now on, and notes that it is
-// sent.
-func (w *workerState) extend(now time.Time, lease time.Duration) time.Duration {
-	w.deadline = max(w.deadline, w.now(now)+lease)
-	return w.deadline
+// extendDeadline returns the deadline of a lease that starts now, and records it as sent.
+func (w *workerState) extendDeadline(now time.Time, lease time.Duration) time.Duration {
+	w.latestDeadline = max(w.latestDeadline, w.clockNow(now)+lease)
+	return w.latestDeadline
 }
 
-// ordered returns the deadline of an order to begin a run, after which the worker
-// refuses it, and notes that it is sent. The worker's clock is taken for as fast as
-// this node's, so that the order has its whole time; what runs is extended by looks.
-func (w *workerState) ordered(now time.Time, travel time.Duration) time.Duration {
-	deadline := w.clock + now.Sub(w.clockAt) + travel
-	w.orderedTo = max(w.orderedTo, deadline)
-	w.deadline = max(w.deadline, deadline)
+// startDeadline returns the deadline after which the worker refuses a start order, and records it
+// as sent. It assumes that the worker's clock runs as fast as this node's, so that the order gets
+// its full time; the leases of runs are extended by polls.
+func (w *workerState) startDeadline(now time.Time, transit time.Duration) time.Duration {
+	deadline := w.clock + now.Sub(w.clockAt) + transit
+	w.startDeadlineSent = max(w.startDeadlineSent, deadline)
+	w.latestDeadline = max(w.latestDeadline, deadline)
 	return deadline
 }
 
-// lapses returns when all that runs there has surely been ended by its lease,
-// unless it is extended.
-func (w *workerState) lapses() time.Time {
-	if !w.met {
-		return w.surely
+// leasesExpireAt returns when all runs on the worker have been ended by their leases, unless these
+// are extended.
+func (w *workerState) leasesExpireAt() time.Time {
+	if !w.contacted {
+		return w.restoredRunsEndAt
 	}
-	left := float64(w.deadline-w.clock) / (1 - clockSlack)
-	return w.clockAt.Add(time.Duration(left) + lapseSlack)
+	remaining := float64(w.latestDeadline-w.clock) / (1 - maxClockDrift)
+	return w.clockAt.Add(time.Duration(remaining) + expiryMargin)
 }
 
-// room returns what is free.
-func (w *workerState) room() job.Size { return w.info.Capacity.Minus(w.used).Minus(w.strays) }
+// free returns the free capacity.
+func (w *workerState) free() job.Size { return w.info.Capacity.Minus(w.used).Minus(w.orphanSize) }
 
-// overfull reports whether more runs there, or is to begin, than there is room for: it has
-// shrunk, or others run there that are to be stopped.
-func (w *workerState) overfull() bool { return !(job.Size{}).FitsIn(w.room()) }
+// overcommitted reports whether the runs there, including planned ones, exceed the capacity: it has
+// shrunk, or there are orphan runs that have to be stopped.
+func (w *workerState) overcommitted() bool { return !(job.Size{}).FitsIn(w.free()) }
 
-// open reports whether tasks may be placed there.
-func (w *workerState) open(now time.Time) bool {
-	return w.met && w.listed && w.silent.IsZero() && !w.doubted && !w.unproven && !w.leaves() && !w.rests(now)
+// schedulable reports whether tasks may be placed on the worker.
+func (w *workerState) schedulable(now time.Time) bool {
+	return w.contacted && w.listed && w.unresponsiveSince.IsZero() && !w.orderUnanswered && !w.restartSuspected && !w.evacuating() && !w.ejected(now)
 }
 
-// leaves reports whether what runs there has to go elsewhere.
-func (w *workerState) leaves() bool { return w.info.Draining || w.cordoned }
+// evacuating reports whether the runs on the worker have to move elsewhere.
+func (w *workerState) evacuating() bool { return w.info.Draining || w.cordoned }
 
-// forgetTicket drops a ticket that was not accepted.
-func (w *workerState) forgetTicket(s job.StepRef) { delete(w.tickets, s) }
+// dropTicket removes a ticket that was not accepted.
+func (w *workerState) dropTicket(s job.StepRef) { delete(w.tickets, s) }
 
-// heard takes what an answer tells of its worker.
-func (p *Pool) heard(w *workerState, a port.Response, now time.Time) {
+// noteContact records what a response shows of its worker.
+func (p *Pool) noteContact(w *workerState, a port.Response, now time.Time) {
 	if a.Result == port.Unknown || a.Result == port.Unreachable {
 		return
 	}
 	if a.Result != port.OtherIncarnation {
-		w.heardAt = now
-		if w.doubted {
-			w.doubted = false
-			p.moved = true
+		w.lastContact = now
+		if w.orderUnanswered {
+			w.orderUnanswered = false
+			p.needsPlan = true
 		}
 	}
-	if a.Clock > 0 && (w.clockAt.IsZero() || a.Clock > w.now(now)-clockTolerance) {
+	if a.Clock > 0 && (w.clockAt.IsZero() || a.Clock > w.clockNow(now)-clockTolerance) {
 		w.clock, w.clockAt = a.Clock, now
 	}
 }
 
-// UpdateWorker takes what the platform's list says of a worker of the pool. It returns
+// UpdateWorker applies an entry of the platform's list for a worker of the pool, and reports
 // whether the worker is new.
 func (p *Pool) UpdateWorker(info worker.Worker) bool {
 	w := p.workers[info.ID]
 	if w == nil {
 		w = p.addWorker(info)
 		p.Logger.Info().Str("event", "worker").Str("worker", string(info.ID)).Str("instance", info.Instance).
-			Str("address", info.Address).Strs("labels", info.Labels).Int64("born", info.StartedAt).Uint64("revision", info.Revision).Msg("a worker has come")
-		p.compare(w)
+			Str("address", info.Address).Strs("labels", info.Labels).Int64("born", info.StartedAt).Uint64("revision", info.Revision).Msg("worker added")
+		p.pollRivals(w)
 		w.listed = true
 		return true
 	}
-	if !p.seeStart(w, info) {
+	if !p.checkStart(w, info) {
 		return false
 	}
 	if info.Address != w.info.Address {
-		p.reconnect(w)
+		p.markReconnect(w)
 	}
 	if info.Capacity != w.info.Capacity {
 		p.Logger.Info().Str("event", "worker").Str("worker", string(info.ID)).Int("cpu", info.Capacity.CPU).Int("memory_mb", info.Capacity.MemoryMB).
-			Int("cpu_before", w.info.Capacity.CPU).Int("used_cpu", w.used.CPU).Uint64("revision", info.Revision).Msg("a worker's room has changed")
-		p.moved = true
+			Int("cpu_before", w.info.Capacity.CPU).Int("used_cpu", w.used.CPU).Uint64("revision", info.Revision).Msg("worker capacity changed")
+		p.needsPlan = true
 	}
 	if info.Draining && !w.info.Draining {
 		p.Logger.Info().Str("event", "worker").Str("worker", string(info.ID)).Dur("remaining", info.Remaining).
-			Uint64("revision", info.Revision).Msg("a worker drains")
-		p.moved = true
+			Uint64("revision", info.Revision).Msg("worker draining")
+		p.needsPlan = true
 	}
 	w.info = info
-	w.listed, w.lingers = true, false
+	w.listed, w.answersUnlisted = true, false
 	return false
 }
 
-// sortJobs sorts jobs by when they came.
+// sortJobs sorts jobs by arrival.
 func sortJobs(jobs []*jobState) {
 	slices.SortFunc(jobs, func(a, b *jobState) int {
 		return cmp.Or(a.accepted.Compare(b.accepted), cmp.Compare(a.sub.ID, b.sub.ID))
@@ -184,7 +183,7 @@
 
 func (p *Pool) addWorker(info worker.Worker) *workerState {
 	w := p.newWorker(info)
-	w.born = p.starts[info.ID]
+	w.startedAt = p.persistedStarts[info.ID]
 	p.workers[info.ID] = w
 	return w
 }
@@ -192,135 +191,132 @@
 // newWorker returns a worker of which nothing is known.
 func (p *Pool) newWorker(info worker.Worker) *workerState {
 	return &workerState{
-		info: info, runs: make(map[string]*run), tickets: make(map[job.StepRef]ticket), cordoned: p.cordons[info.ID], raised: p.raised,
+		info: info, runs: make(map[string]*run), tickets: make(map[job.StepRef]ticket), cordoned: p.cordons[info.ID], tokenRaises: p.tokenRaises,
 	}
 }
 
-// compare has the lives of one instance looked at, of which one at most goes on.
-// The list does not tell which: what an earlier life said of itself may be listed
-// late.
-func (p *Pool) compare(w *workerState) {
+// pollRivals polls all incarnations of one instance, of which at most one is alive. The list does
+// not show which: an earlier incarnation's entry may be listed late.
+func (p *Pool) pollRivals(w *workerState) {
 	if w.info.Instance == "" {
 		return
 	}
 	for _, o := range p.workers {
 		if o != w && o.info.Instance == w.info.Instance {
-			w.rivals, o.rivals = true, true
-			w.wantLook, o.wantLook = true, true
+			w.hasRivals, o.hasRivals = true, true
+			w.pollWanted, o.pollWanted = true, true
 		}
 	}
 }
 
-// outlived ends the other lives of a worker's instance that have not answered since
-// a look was sent which the worker has answered.
-func (p *Pool) outlived(w *workerState, sent, now time.Time) {
-	w.rivals = false
+// endRivals ends the other incarnations of a worker's instance that have not responded since the
+// poll was sent to which this worker responded.
+func (p *Pool) endRivals(w *workerState, sent, now time.Time) {
+	w.hasRivals = false
 	for _, o := range p.workers {
 		if o == w || o.info.Instance != w.info.Instance {
 			continue
 		}
-		if o.heardAt.Before(sent) {
-			p.lifeOver(o, now, endedItself, "its instance has a new life")
+		if o.lastContact.Before(sent) {
+			p.endIncarnation(o, now, exitConfirmed, "its instance has a new incarnation")
 		} else {
-			w.rivals = true
+			w.hasRivals = true
 		}
 	}
 }
 
-// UnlistWorker takes the news that a worker stands in the platform's list no longer: it
-// has left, crashed or been silent. What ran there may run on until its lease
-// has lapsed.
+// UnlistWorker records that a worker is no longer in the platform's list: it has left, crashed or
+// become unresponsive. Its runs may continue until their leases expire.
 func (p *Pool) UnlistWorker(id worker.ID) {
 	w := p.workers[id]
 	if w == nil || !w.listed {
 		return
 	}
 	w.listed = false
-	p.Logger.Info().Str("event", "worker").Str("worker", string(id)).Int("runs", len(w.runs)).Msg("a worker is listed no longer")
+	p.Logger.Info().Str("event", "worker").Str("worker", string(id)).Int("runs", len(w.runs)).Msg("worker no longer listed")
 	if len(w.runs) == 0 {
-		p.dropWorker(w)
+		p.removeWorker(w)
 		return
 	}
-	if w.silent.IsZero() {
-		w.wantLook = true
+	if w.unresponsiveSince.IsZero() {
+		w.pollWanted = true
 	}
 }
 
-// dropWorker forgets a worker.
-func (p *Pool) dropWorker(w *workerState) {
-	p.forgetStrays(w)
+// removeWorker removes a worker.
+func (p *Pool) removeWorker(w *workerState) {
+	p.forgetOrphans(w)
 	delete(p.workers, w.info.ID)
-	p.left = append(p.left, w.info.ID)
+	p.removedWorkers = append(p.removedWorkers, w.info.ID)
 }
 
-// lifeOver ends all that a worker ran: its life is over.
-func (p *Pool) lifeOver(w *workerState, now time.Time, how lifeEnd, why string) {
-	p.Logger.Info().Str("event", "worker").Str("worker", string(w.info.ID)).Int("runs", len(w.runs)).Str("why", why).
-		Msg("a worker's life is over")
-	p.confirm(w.life())
-	p.endRuns(w, now, how, why)
-	p.dropWorker(w)
-	p.moved = true
+// endIncarnation ends all runs of a worker whose incarnation is over.
+func (p *Pool) endIncarnation(w *workerState, now time.Time, kind exitKind, reason string) {
+	p.Logger.Info().Str("event", "worker").Str("worker", string(w.info.ID)).Int("runs", len(w.runs)).Str("why", reason).
+		Msg("worker incarnation ended")
+	p.confirmCrash(w.incarnation())
+	p.endRuns(w, now, kind, reason)
+	p.removeWorker(w)
+	p.needsPlan = true
 }
 
-// endRuns ends all that a worker ran, and holds it against those that may be the cause.
-func (p *Pool) endRuns(w *workerState, now time.Time, how lifeEnd, why string) {
-	suspects := p.suspects(w, how)
+// endRuns ends all runs of a worker and attributes its exit to the tasks that may have caused it.
+func (p *Pool) endRuns(w *workerState, now time.Time, kind exitKind, reason string) {
+	suspects := p.suspects(w, kind)
 	for _, u := range w.runs {
-		p.lose(u, now, why)
+		p.loseRun(u, now, reason)
 	}
-	w.out = nil
-	p.blame(w, suspects, how, now)
+	w.orders = nil
+	p.attributeCrash(w, suspects, kind, now)
 }
 
-// EndIncarnations takes the news that workers' lives were ended by an order to their
-// instances. One that has another start by now is looked at.
-func (p *Pool) EndIncarnations(lives []worker.Incarnation, now time.Time) {
-	for _, l := range lives {
+// EndIncarnations records that incarnations of workers were ended by an order to their instances. A
+// worker that has another incarnation by now is polled.
+func (p *Pool) EndIncarnations(incarnations []worker.Incarnation, now time.Time) {
+	for _, l := range incarnations {
 		w := p.workers[l.ID]
 		switch {
 		case w == nil:
-		case l.StartedAt == w.born:
-			p.lifeOver(w, now, endedByOrder, "its instance was moved or maintained")
+		case l.StartedAt == w.startedAt:
+			p.endIncarnation(w, now, exitOrdered, "its instance was moved or maintained")
 		default:
 			p.suspectRestart(w)
-			p.attend(w)
+			p.markPending(w)
 		}
 	}
 }
 
-// lose ends a run that never ends by itself; its task waits again.
-func (p *Pool) lose(u *run, now time.Time, why string) {
-	p.Logger.Info().Str("event", "lost").Str("task", u.name).Int("run", u.number).Str("worker", string(u.at.info.ID)).
-		Dur("age", u.age(now)).Str("why", why).Msg("a run is lost")
-	if u.saved != "" && u.step().spec.Checkpointing {
-		u.task().checkpoint = u.saved
+// loseRun ends a run that does not end by itself; its task waits again.
+func (p *Pool) loseRun(u *run, now time.Time, reason string) {
+	p.Logger.Info().Str("event", "lost").Str("task", u.name).Int("run", u.number).Str("worker", string(u.worker.info.ID)).
+		Dur("age", u.age(now)).Str("why", reason).Msg("run lost")
+	if u.checkpoint != "" && u.step().spec.Checkpointing {
+		u.task().checkpoint = u.checkpoint
 	}
-	if !u.stray {
-		u.task().lost = append(u.task().lost, u.number)
+	if !u.orphan {
+		u.task().lostRuns = append(u.task().lostRuns, u.number)
 	}
-	alone := !u.worksTogether()
+	gangIdle := !u.gangActive()
 	p.release(u)
-	if alone {
-		p.breakGang(u, now, why)
+	if gangIdle {
+		p.abandonGang(u, now, reason)
 	}
 }
 
-// ExpireLeases ends the runs of workers that have been silent until their leases were
-// over.
+// ExpireLeases ends the runs of workers that have been unresponsive until their leases expired.
 func (p *Pool) ExpireLeases(now time.Time) {
 	for _, w := range p.workers {
-		if w.silent.IsZero() {
+		if w.unresponsiveSince.IsZero() {
 			continue
 		}
-		p.breakStalled(w, now)
-		if now.Before(w.lapses()) {
-			p.wakeAt(w.lapses(), now)
+		p.abandonStalledGangs(w, now)
+		if now.Before(w.leasesExpireAt()) {
+			p.schedulePlan(w.leasesExpireAt(), now)
 			continue
 		}
-		p.endRuns(w, now, endedUnseen, "its lease has lapsed on a silent worker")
+		p.endRuns(w, now, exitAssumed, "the lease expired on an unresponsive worker")
 		if !w.listed {
-			p.dropWorker(w)
+			p.removeWorker(w)
 		}
 	}
 }
