--- a/services/owner/advice.go
+++ b/services/owner/advice.go
@@ -10,33 +10,33 @@
 	"github.com/yardbridge/yardbridge/services/scheduler"
 )
 
-// askPause is how long nothing is asked after a question that was not answered.
-const askPause = 100 * time.Millisecond
+// adviceRetryDelay is the pause before the next advice request after one that failed.
+const adviceRetryDelay = 100 * time.Millisecond
 
-// askAdvice has the advice service asked what there is to ask.
-func (o *Owner) askAdvice() {
+// requestAdvice notifies runAdvice that there may be advice to request.
+func (o *Owner) requestAdvice() {
 	select {
-	case o.questions <- struct{}{}:
+	case o.adviceDue <- struct{}{}:
 	default:
 	}
 }
 
-// runAdvice asks the advice service one question after the other: it works on one
-// at a time for each node.
+// runAdvice sends advice requests one after the other: the advice service handles one request at a
+// time for each node.
 func (o *Owner) runAdvice(ctx context.Context) {
 	for {
 		select {
-		case <-o.questions:
+		case <-o.adviceDue:
 		case <-ctx.Done():
 			return
 		}
-		for o.ask(ctx) {
+		for o.requestNext(ctx) {
 		}
 	}
 }
 
-// ask asks one question and returns whether there was one.
-func (o *Owner) ask(ctx context.Context) bool {
+// requestNext sends one advice request and reports whether one was due.
+func (o *Owner) requestNext(ctx context.Context) bool {
 	o.mu.Lock()
 	q, has := o.pool.NextAdviceRequest(o.Clock.Now())
 	o.mu.Unlock()
@@ -47,7 +47,7 @@
 	o.change(func(p *scheduler.Pool, now time.Time) { p.HandleAdvice(q, tickets, err, now) })
 	if err != nil {
 		select {
-		case <-o.Clock.After(askPause):
+		case <-o.Clock.After(adviceRetryDelay):
 		case <-ctx.Done():
 		}
 	}
--- a/services/owner/claim.go
+++ b/services/owner/claim.go
@@ -11,13 +11,13 @@
 	"github.com/yardbridge/yardbridge/services/scheduler"
 )
 
-// surely is for how long what an earlier owner began may run on a worker that
-// can't be reached, beyond the lease: until that owner must have noticed that
-// it is one no longer.
-const surely = 3 * time.Second
+// ownerOverlap is how long, beyond the lease, runs that an earlier owner started may continue on a
+// worker that can't be reached. Within this time the earlier owner must have noticed that it is no
+// longer the owner.
+const ownerOverlap = 3 * time.Second
 
-// Claim makes this node the owner of the pool's partition, unless another claims
-// it at the same time, and takes over what earlier owners have kept.
+// Claim makes this node the owner of the pool's partition, unless another node claims it at the
+// same time, and restores the state that earlier owners have stored.
 func (o *Owner) Claim(ctx context.Context, node string) error {
 	records, err := o.Journal.Claim(ctx, node)
 	if err != nil {
@@ -25,15 +25,15 @@
 	}
 	o.changed = make(chan struct{}, 1)
 	o.done = make(chan struct{})
-	o.questions = make(chan struct{}, 1)
+	o.adviceDue = make(chan struct{}, 1)
 	o.links = make(map[worker.ID]*link)
 	o.waiting = make(map[uint64][]chan struct{})
 	o.pool = scheduler.New(o.Pool, o.Epoch(), o.Limits, o.Logger)
 	o.pool.Increment, o.pool.Clock = o.Count, o.Clock
-	if err := o.pool.Restore(records, o.Clock.Now(), o.Limits.Lease+surely); err != nil {
+	if err := o.pool.Restore(records, o.Clock.Now(), o.Limits.Lease+ownerOverlap); err != nil {
 		return err
 	}
 	o.Logger.Info().Str("event", "claim").Uint64("epoch", o.Epoch()).Int("records", len(records)).
-		Str("outcome", "owner").Msg("a pool is owned")
+		Str("outcome", "owner").Msg("pool ownership claimed")
 	return nil
 }
--- a/services/owner/commit.go
+++ b/services/owner/commit.go
@@ -8,17 +8,16 @@
 	"time"
 )
 
-// commitGap is the least time between appends. The store's calls are priced and limited for all nodes
-// together; what comes within the gap goes into one append.
+// commitGap is the minimum time between appends. The store's calls are priced and limited for all
+// nodes together, so changes that arrive within the gap share one append.
 const commitGap = 20 * time.Millisecond
 
-// confirmAfter is how long an owner that keeps nothing goes on without asking the
-// store whether it still is the owner.
+// confirmAfter is how long an owner that appends nothing goes without confirming its ownership with
+// the store.
 const confirmAfter = time.Second
 
-// commits plans and keeps changes, one append at a time, until the pool is not
-// owned any more.
-func (o *Owner) commits(ctx context.Context) error {
+// commitLoop plans and persists changes, one append at a time, until the pool is no longer owned.
+func (o *Owner) commitLoop(ctx context.Context) error {
 	for {
 		began := o.Clock.Now()
 		wake, err := o.commit(ctx)
@@ -39,7 +38,7 @@
 	}
 }
 
-// pause waits for a time.
+// pause waits for a duration.
 func (o *Owner) pause(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
@@ -52,8 +51,7 @@
 	}
 }
 
-// idle waits until something has changed or a time has come; the zero time
-// never does.
+// idle waits until something has changed or until the given time. The zero time means no deadline.
 func (o *Owner) idle(ctx context.Context, wake time.Time) error {
 	d := confirmAfter
 	if !wake.IsZero() {
@@ -68,14 +66,14 @@
 	return nil
 }
 
-// commit plans, and keeps what has changed. It returns when to do so again.
+// commit plans and persists the changes. It returns the time of the next planned commit.
 func (o *Owner) commit(ctx context.Context) (time.Time, error) {
 	o.mu.Lock()
 	now := o.Clock.Now()
 	wake := o.pool.Plan(now)
-	o.askAdvice()
+	o.requestAdvice()
 	batch, err := o.pool.Collect()
-	o.attend()
+	o.processPending()
 	o.dropLinks()
 	o.mu.Unlock()
 	if err != nil || batch == nil {
@@ -89,9 +87,9 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.pool.Committed(batch, o.Journal.LastConfirmed())
-	o.kept = batch.Number
+	o.persisted = batch.Number
 	for n, waiting := range o.waiting {
-		if n > o.kept {
+		if n > o.persisted {
 			continue
 		}
 		for _, c := range waiting {
@@ -99,6 +97,6 @@
 		}
 		delete(o.waiting, n)
 	}
-	o.attend()
+	o.processPending()
 	return wake, nil
 }
--- a/services/owner/fence_test.go
+++ b/services/owner/fence_test.go
@@ -19,11 +19,12 @@
 	"github.com/yardbridge/yardbridge/standin/world"
 )
 
-// TestRunKeptLongAgoIsNotBegun: the append that keeps a run is done at once and its
-// answer is read five seconds later, as by a node that was frozen. Another node has
-// taken the pool over meanwhile, and its callers may have cancelled the job: the
-// order counts from when the append was sent, not from when its answer was read.
-func TestRunKeptLongAgoIsNotBegun(t *testing.T) {
+// TestRunPersistedLongAgoIsNotStarted guards against a start order that is sent too late. The
+// append that persists a run succeeds at once, but the owner reads the response five seconds later,
+// as a frozen node would. Meanwhile another node has taken the pool over, and callers may have
+// cancelled the job there. The order's age counts from when the append was sent, not from when its
+// response was read.
+func TestRunPersistedLongAgoIsNotStarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := world.New(1)
 		queues := []config.Queue{{Name: "q", Host: "h", PathPrefix: "/q/", Pool: "p", MaxAttempts: 3, Stretch: 1.5, BaseObjective: time.Second}}
@@ -33,7 +34,7 @@
 		first.Journal.Store.Append = func(ctx context.Context, p port.Partition, wr port.Writer, records []port.Record) error {
 			err := appendRecords(ctx, p, wr, records)
 			if len(records) > 0 && frozen.CompareAndSwap(true, false) {
-				open(t, w) // fences the first
+				open(t, w) // fences the first owner
 				taken.Store(true)
 				time.Sleep(5 * time.Second)
 			}
@@ -64,7 +65,7 @@
 		go func() { submitted <- first.Submit(ctx, submission("1")) }()
 		time.Sleep(10 * time.Second)
 		assert.Assert(t, taken.Load(), "the pool was not taken over")
-		assert.Equal(t, starts.Load(), int32(0), "a run that was kept before another node took the pool over is begun")
+		assert.Equal(t, starts.Load(), int32(0), "a run that was persisted before another node took the pool over is started")
 		cancel()
 		<-ended
 		<-submitted
--- a/services/owner/link.go
+++ b/services/owner/link.go
@@ -12,36 +12,36 @@
 	"github.com/yardbridge/yardbridge/services/scheduler"
 )
 
-// link carries orders and looks to one worker, each over a channel of its own.
-// While an order waits long for its answer, those behind it go over other channels.
+// link sends orders and polls to one worker, each over its own channel. While an order waits long
+// for its response, the orders behind it go over other channels.
 type link struct {
-	owner  *Owner
-	id     worker.ID
-	port   *port.Link
-	orders chan struct{}
-	look   chan struct{}
-	parent context.Context
-	ctx    context.Context
-	cancel context.CancelFunc
-
-	helpers int // that give orders now; under the owner's lock
+	owner   *Owner
+	id      worker.ID
+	port    *port.Link
+	orders  chan struct{}
+	pollDue chan struct{}
+	parent  context.Context
+	ctx     context.Context
+	cancel  context.CancelFunc
+
+	helpers int // goroutines that send orders over extra channels; guarded by the owner's lock
 }
 
-// The help for orders that wait behind one without an answer. Orders are answered
-// in a few milliseconds, or after 400 for unknown.
+// Bounds of the helpers that send the orders waiting behind one without a response. Workers respond
+// to orders within a few milliseconds; after 400 ms the result counts as unknown.
 const (
 	helpAfter  = 40 * time.Millisecond
-	mostHelper = 2
+	maxHelpers = 2
 )
 
-// wake has the link look for orders and for a look that is due.
+// wake makes the link check for orders and for a poll that is due.
 func (l *link) wake() {
 	select {
 	case l.orders <- struct{}{}:
 	default:
 	}
 	select {
-	case l.look <- struct{}{}:
+	case l.pollDue <- struct{}{}:
 	default:
 	}
 }
@@ -52,11 +52,11 @@
 	l.port.Close()
 }
 
-// runOrders gives orders one after another.
+// runOrders sends orders one after another.
 func (l *link) runOrders() {
 	defer l.owner.tasks.Done()
 	for {
-		for l.give() {
+		for l.sendOrder() {
 		}
 		select {
 		case <-l.orders:
@@ -66,47 +66,47 @@
 	}
 }
 
-// give gives one order and returns whether there was one.
-func (l *link) give() bool {
+// sendOrder sends one order and reports whether there was one.
+func (l *link) sendOrder() bool {
 	o := l.owner
 	o.mu.Lock()
 	if l.ctx.Err() != nil {
 		o.mu.Unlock()
-		return false // the next link has what is left
+		return false // the next link sends the remaining orders
 	}
 	order, has := o.pool.NextOrder(l.id, o.Clock.Now())
 	if o.pool.Changed() {
-		o.poke() // orders that were given up have freed something
+		o.notifyChange() // abandoned orders have freed capacity
 	}
 	if !has {
 		o.mu.Unlock()
 		return false
 	}
-	send := l.prepare(order)
+	send := l.prepareSend(order)
 	o.mu.Unlock()
 	help := time.AfterFunc(helpAfter, l.help)
-	answer := send()
+	response := send()
 	help.Stop()
 	o.mu.Lock()
 	now := o.Clock.Now()
-	if o.pool.HandleOrderResponse(order, answer, now) {
+	if o.pool.HandleOrderResponse(order, response, now) {
 		o.pool.Retry(order, now)
 	}
-	o.attend()
+	o.processPending()
 	o.mu.Unlock()
-	if answer.Result != port.Accepted {
-		o.poke()
+	if response.Result != port.Accepted {
+		o.notifyChange()
 	}
-	l.wakeLook()
+	l.wakePoll()
 	return true
 }
 
-// help has the orders that wait given over another channel.
+// help starts a helper that sends the waiting orders over another channel.
 func (l *link) help() {
 	o := l.owner
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if l.helpers == mostHelper || !o.pool.HasOrder(l.id) || l.ctx.Err() != nil || o.over != nil {
+	if l.helpers == maxHelpers || !o.pool.HasOrder(l.id) || l.ctx.Err() != nil || o.endReason != nil {
 		return
 	}
 	l.helpers++
@@ -114,47 +114,47 @@
 	go helper{l}.run()
 }
 
-// helper gives the orders of a link over another channel.
+// helper sends the orders of a link over another channel.
 type helper struct{ link *link }
 
-// run gives orders while there are any.
+// run sends orders while there are any.
 func (h helper) run() {
 	l := h.link
 	defer l.owner.tasks.Done()
-	for l.give() {
+	for l.sendOrder() {
 	}
 	l.owner.mu.Lock()
 	defer l.owner.mu.Unlock()
 	l.helpers--
 }
 
-// prepare returns the sending of an order. The lock is held.
-func (l *link) prepare(order scheduler.Order) func() port.Response {
+// prepareSend returns the function that sends an order. The lock is held.
+func (l *link) prepareSend(order scheduler.Order) func() port.Response {
 	p := l.owner.pool
 	switch {
 	case order.Stop:
 		stop := p.StopOrder(order)
 		return func() port.Response { return l.port.Stop(l.ctx, stop) }
 	case order.CPUShare:
-		pace := p.CPUShareOrder(order)
-		return func() port.Response { return l.port.SetCPUShare(l.ctx, pace) }
+		share := p.CPUShareOrder(order)
+		return func() port.Response { return l.port.SetCPUShare(l.ctx, share) }
 	}
 	start := p.StartOrder(order, l.owner.Clock.Now())
 	return func() port.Response { return l.port.Start(l.ctx, start) }
 }
 
-func (l *link) wakeLook() {
+func (l *link) wakePoll() {
 	select {
-	case l.look <- struct{}{}:
+	case l.pollDue <- struct{}{}:
 	default:
 	}
 }
 
-// runLooks looks at the worker whenever that is due.
-func (l *link) runLooks() {
+// runPolls polls the worker whenever a poll is due.
+func (l *link) runPolls() {
 	defer l.owner.tasks.Done()
 	for {
-		at, wait, has := l.next()
+		at, wait, has := l.nextPoll()
 		if has {
 			if d := at.Sub(l.owner.Clock.Now()); d > 0 {
 				if !l.sleep(d) {
@@ -162,27 +162,27 @@
 				}
 				continue
 			}
-			if !l.lookNow(wait) {
+			if !l.poll(wait) {
 				return
 			}
 			continue
 		}
 		select {
-		case <-l.look:
+		case <-l.pollDue:
 		case <-l.ctx.Done():
 			return
 		}
 	}
 }
 
-// next returns when the next look is due, false for none.
-func (l *link) next() (time.Time, time.Duration, bool) {
+// nextPoll returns when the next poll is due, and false for none.
+func (l *link) nextPoll() (time.Time, time.Duration, bool) {
 	l.owner.mu.Lock()
 	defer l.owner.mu.Unlock()
 	return l.owner.pool.NextPoll(l.id)
 }
 
-// sleep waits for a time; it returns false once the link is closed.
+// sleep waits for a duration. It returns false once the link is closed.
 func (l *link) sleep(d time.Duration) bool {
 	select {
 	case <-l.owner.Clock.After(d):
@@ -192,30 +192,30 @@
 	}
 }
 
-// lookNow looks at the worker once; it returns false once the link is closed.
-func (l *link) lookNow(wait time.Duration) bool {
+// poll polls the worker once. It returns false once the link is closed.
+func (l *link) poll(wait time.Duration) bool {
 	o := l.owner
 	o.mu.Lock()
 	if l.ctx.Err() != nil {
 		o.mu.Unlock()
 		return false
 	}
-	o.isolate()
-	look, ask, known := o.pool.BeginPoll(l.id, wait, o.Clock.Now())
+	o.updateIsolation()
+	id, poll, known := o.pool.BeginPoll(l.id, wait, o.Clock.Now())
 	o.mu.Unlock()
 	if !known {
-		return true // the owner is about to end the link
+		return true // the owner is about to close the link
 	}
-	listing, answer := l.port.Poll(l.ctx, ask)
+	listing, response := l.port.Poll(l.ctx, poll)
 	o.mu.Lock()
 	if l.ctx.Err() != nil {
 		o.mu.Unlock()
-		return false // that it got no answer says nothing of the worker
+		return false // a closed link's missing response says nothing about the worker
 	}
-	o.pool.EndPoll(look, listing, answer, o.Clock.Now())
-	o.attend()
+	o.pool.EndPoll(id, listing, response, o.Clock.Now())
+	o.processPending()
 	o.mu.Unlock()
 	l.wake()
-	o.poke()
+	o.notifyChange()
 	return true
 }
--- a/services/owner/overload_test.go
+++ b/services/owner/overload_test.go
@@ -21,20 +21,20 @@
 	"github.com/yardbridge/yardbridge/standin/world"
 )
 
-// The load of these tests: a pool of four workers does some 6.7 jobs a second, each of
-// which has an objective of 1.6 times its work and 0.6 s.
+// The load of these tests: a pool of four workers completes about 6.7 jobs a second. Each job has
+// an objective of 1.6 times its work plus 0.6 s.
 const (
-	loadWorkers = 4
-	loadTakes   = 600 * time.Millisecond
-	loadAim     = 1560 * time.Millisecond
-	loadLast    = 40 * time.Second
+	loadWorkers   = 4
+	loadEstimate  = 600 * time.Millisecond
+	loadObjective = 1560 * time.Millisecond
+	loadDuration  = 40 * time.Second
 )
 
-// outcome is which share of the jobs that were handed in was done within the objective,
-// which within three times of it, and which was accepted.
+// outcome holds the shares of the submitted jobs that completed within the objective, that
+// completed within three times the objective, and that were accepted.
 type outcome struct{ inTime, late, accepted float64 }
 
-// load is a pool under load.
+// load submits jobs to a pool and counts the outcomes.
 type load struct {
 	t     *testing.T
 	world *world.World
@@ -47,9 +47,9 @@
 	counts map[string]*outcome // of jobs, by customer
 }
 
-// served has callers hand in so many jobs a second for each customer for a while, and
-// returns what came of them.
-func served(t *testing.T, perSecond map[string]int, customers ...config.Customer) map[string]outcome {
+// serveLoad submits the given number of jobs per second for each customer for loadDuration, and
+// returns the outcomes.
+func serveLoad(t *testing.T, perSecond map[string]int, customers ...config.Customer) map[string]outcome {
 	w := world.New(1)
 	for i := range loadWorkers {
 		w.AddWorker(fmt.Sprint("m-", i), "p", "r-0", job.Size{CPU: 16000, MemoryMB: 65536})
@@ -76,7 +76,7 @@
 	var callers sync.WaitGroup
 	for customer, rate := range perSecond {
 		l.counts[customer] = &outcome{}
-		callers.Go(func() { l.press(customer, rate) })
+		callers.Go(func() { l.submitJobs(customer, rate) })
 	}
 	callers.Wait()
 	l.jobs.Wait()
@@ -84,28 +84,28 @@
 	<-ended
 	shares := make(map[string]outcome)
 	for customer, c := range l.counts {
-		n := loadLast.Seconds() * float64(perSecond[customer])
+		n := loadDuration.Seconds() * float64(perSecond[customer])
 		shares[customer] = outcome{c.inTime / n, c.late / n, c.accepted / n}
 	}
 	return shares
 }
 
-// press hands in the jobs of one customer.
-func (l *load) press(customer string, perSecond int) {
-	for range int(loadLast.Seconds()) * perSecond {
+// submitJobs submits the jobs of one customer.
+func (l *load) submitJobs(customer string, perSecond int) {
+	for range int(loadDuration.Seconds()) * perSecond {
 		l.mu.Lock()
 		l.number++
 		id := job.ID(fmt.Sprintf("%016x", l.number))
 		l.mu.Unlock()
-		s := job.Submission{ID: id, Queue: "h/q/", Customer: customer, Spec: "s", Steps: []job.Step{{Count: 8, Size: job.Size{CPU: 2000, MemoryMB: 100}, Estimate: loadTakes}}}
+		s := job.Submission{ID: id, Queue: "h/q/", Customer: customer, Spec: "s", Steps: []job.Step{{Count: 8, Size: job.Size{CPU: 2000, MemoryMB: 100}, Estimate: loadEstimate}}}
 		l.world.RecordSubmission(s)
-		l.jobs.Go(func() { l.one(s) })
+		l.jobs.Go(func() { l.submitJob(s) })
 		time.Sleep(time.Second / time.Duration(perSecond))
 	}
 }
 
-// one hands in one job and waits for its end, as long as that is of use.
-func (l *load) one(s job.Submission) {
+// submitJob submits one job and waits for its end, up to three times the objective.
+func (l *load) submitJob(s job.Submission) {
 	began := time.Now()
 	if err := l.owner.Submit(l.ctx, s); err != nil {
 		e := errkind.Of(err)
@@ -113,11 +113,11 @@
 		return
 	}
 	l.count(s.Customer, func(o *outcome) { o.accepted++ })
-	for time.Since(began) < 3*loadAim {
+	for time.Since(began) < 3*loadObjective {
 		if state, err := l.owner.State(l.ctx, s.ID, s.Customer); err == nil && state.Final() {
 			l.count(s.Customer, func(o *outcome) {
 				o.late++
-				if time.Since(began) <= loadAim {
+				if time.Since(began) <= loadObjective {
 					o.inTime++
 				}
 			})
@@ -133,41 +133,41 @@
 	add(l.counts[customer])
 }
 
-// TestOverloadServesSomeInTime: where three times as much comes for long as a pool can
-// do, what it can do is done in time, and not all of it at the last moment; the rest is
-// refused at once, with a time to come back.
+// TestOverloadServesSomeInTime guards against an overloaded pool that completes nothing in time.
+// Under three times the load that the pool can serve, it still completes jobs in time, and not all
+// of them at the last moment. It rejects the remaining jobs at once, with a retry time.
 func TestOverloadServesSomeInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := served(t, map[string]int{"": 20})[""]
+		o := serveLoad(t, map[string]int{"": 20})[""]
 		t.Logf("%+v", o)
 		assert.Assert(t, o.inTime > 0.2, "%.2f", o.inTime)
 		assert.Assert(t, o.accepted < 0.6, "%.2f", o.accepted)
 	})
 }
 
-// TestSmallOverloadServesAll: where a little more comes than a pool can do, late jobs
-// are done at the last moment, and none is left.
+// TestSmallOverloadServesAll guards against a pool that drops late jobs under a load slightly above
+// its capacity: late jobs complete at the last moment, and none is lost.
 func TestSmallOverloadServesAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := served(t, map[string]int{"": 7})[""]
+		o := serveLoad(t, map[string]int{"": 7})[""]
 		assert.Assert(t, o.late > 0.97, "%.2f", o.late)
 		assert.Equal(t, o.accepted, 1.0)
 	})
 }
 
-// floodTimes is how many times its share of the pool the customer hands in that floods it.
+// floodTimes is how many times its share of the pool the flooding customer submits.
 const floodTimes = 100
 
-// TestFloodTakesNothingFromOthers: of five customers with the same share one hands in 100
-// times its own. The others, who together use less than their shares, are served as if it
-// were not there, and it gets what they leave.
-func TestFloodTakesNothingFromOthers(t *testing.T) {
+// TestFloodDoesNotAffectOtherCustomers guards against one customer's load delaying others. Of five
+// customers with equal shares, one submits 100 times its share. The other four together use less
+// than their shares and are served as if the fifth were absent; it gets the remaining capacity.
+func TestFloodDoesNotAffectOtherCustomers(t *testing.T) {
 	calm := map[string]int{"a": 1, "b": 1, "c": 1, "d": 1}
 	customers := []config.Customer{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}, {Name: "flood"}}
 	synctest.Test(t, func(t *testing.T) {
 		flooded := maps.Clone(calm)
 		flooded["flood"] = floodTimes
-		with := served(t, flooded, customers...)
+		with := serveLoad(t, flooded, customers...)
 		t.Logf("%+v", with)
 		for customer := range calm {
 			assert.Equal(t, with[customer].accepted, 1.0, customer)
--- a/services/owner/owner.go
+++ b/services/owner/owner.go
@@ -20,9 +20,8 @@
 	"github.com/yardbridge/yardbridge/services/scheduler"
 )
 
-// Owner owns one pool from Claim until it is fenced or stopped. Its fields are
-// set before that. Lock order: mu is the only lock, and nothing that waits is
-// called under it.
+// Owner owns one pool from Claim until it is fenced or stopped. Its exported fields are set before
+// Claim. Lock order: mu is the only lock, and nothing that blocks is called while it is held.
 type Owner struct {
 	Pool    string
 	Journal *journal.Journal
@@ -31,96 +30,95 @@
 	Limits  scheduler.Limits
 	Clock   clock.Clock
 	Logger  log.Logger
-	// Count adds one to a counter, nil for none.
+	// Count increments a counter; nil for none.
 	Count func(counter string)
-	// NoPeers reports whether no other node answers, nil for never.
+	// NoPeers reports whether no other node responds; nil for never.
 	NoPeers func() bool
 
-	changed   chan struct{} // there may be something to plan or to keep
-	questions chan struct{} // there may be something to ask the advice service
-	done      chan struct{} // closed once the pool is not owned any more
+	changed   chan struct{} // signals that there may be changes to plan or to persist
+	adviceDue chan struct{} // signals that there may be advice to request
+	done      chan struct{} // closed once the pool is no longer owned
 	tasks     sync.WaitGroup
 
-	mu      sync.Mutex
-	pool    *scheduler.Pool
-	links   map[worker.ID]*link
-	kept    uint64                     // newest batch that is kept
-	waiting map[uint64][]chan struct{} // by the batch that is waited for
-	over    error                      // why the pool is not owned any more
+	mu        sync.Mutex
+	pool      *scheduler.Pool
+	links     map[worker.ID]*link
+	persisted uint64                     // newest batch that is persisted
+	waiting   map[uint64][]chan struct{} // by the batch that is waited for
+	endReason error                      // why the pool is no longer owned
 }
 
-// Run serves the pool until the context ends or a higher epoch is seen, and
-// returns why it has ended. Claim must have succeeded.
+// Run serves the pool until the context ends or a higher epoch is seen, and returns the reason.
+// Claim must have succeeded before.
 func (o *Owner) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	o.adopt(ctx)
 	o.tasks.Go(func() { o.runAdvice(ctx) })
-	err := o.commits(ctx)
-	o.end(err)
+	err := o.commitLoop(ctx)
+	o.finish(err)
 	cancel()
 	o.tasks.Wait()
 	return err
 }
 
-// end lets go of all who wait.
-func (o *Owner) end(err error) {
+// finish releases all waiting callers and closes the links.
+func (o *Owner) finish(err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err == nil {
 		err = errStopped
 	}
-	o.over = err
+	o.endReason = err
 	close(o.done)
 	for _, l := range o.links {
 		l.close()
 	}
 }
 
-// Done is closed once the pool is not owned any more.
+// Done returns a channel that is closed once the pool is no longer owned.
 func (o *Owner) Done() <-chan struct{} { return o.done }
 
 // Epoch returns the epoch under which the pool is owned.
 func (o *Owner) Epoch() uint64 { return o.Journal.Epoch() }
 
-// unconfirmed is after how long without a word from the store an owner that reaches
-// no other node extends leases no longer. What it lets run is over a lease later,
-// before the next owner, which waits for a lease and three seconds, begins it anew.
-const unconfirmed = 2 * time.Second
+// unconfirmedLimit is how long an owner that reaches no other node extends leases after the store's
+// last response. Runs under those leases end one lease later. The next owner waits for a lease and
+// three seconds before it starts them again, so they have ended by then.
+const unconfirmedLimit = 2 * time.Second
 
-// isolate notes whether the owner could learn that another has taken over: from the
-// store, or from another node. The lock is held.
-func (o *Owner) isolate() {
-	isolated := o.NoPeers != nil && o.Clock.Now().Sub(o.Journal.LastConfirmed()) > unconfirmed && o.NoPeers()
+// updateIsolation records whether this owner could learn of a newer owner from the store or from
+// another node. The lock is held.
+func (o *Owner) updateIsolation() {
+	isolated := o.NoPeers != nil && o.Clock.Now().Sub(o.Journal.LastConfirmed()) > unconfirmedLimit && o.NoPeers()
 	if isolated == o.pool.Isolated {
 		return
 	}
 	o.pool.Isolated = isolated
 	o.Logger.Warn().Str("event", "isolated").Bool("isolated", isolated).Time("confirmed", o.Journal.LastConfirmed()).
-		Msg("whether this owner reaches the store or another node has changed; while it does not, leases are not extended")
+		Msg("reachability of the store and of other nodes has changed; leases are not extended while isolated")
 }
 
-// poke has the pool planned and its changes kept.
-func (o *Owner) poke() {
+// notifyChange wakes the commit loop to plan and to persist changes.
+func (o *Owner) notifyChange() {
 	select {
 	case o.changed <- struct{}{}:
 	default:
 	}
 }
 
-// change calls a function on the pool under the lock, and acts on what it has
-// brought.
+// change calls a function on the pool under the lock and processes the work that results from it.
 func (o *Owner) change(do func(p *scheduler.Pool, now time.Time)) {
 	o.mu.Lock()
 	do(o.pool, o.Clock.Now())
-	o.attend()
+	o.processPending()
 	o.mu.Unlock()
-	o.poke()
+	o.notifyChange()
 }
 
-// attend wakes the links of workers that there are orders for, and opens those anew that are
-// of no use any more. The lock is held.
-func (o *Owner) attend() {
+// processPending wakes the links of workers that have pending orders and reopens the links that are
+// no longer usable. The lock is held.
+func (o *Owner) processPending() {
 	for _, id := range o.pool.WorkersToReconnect() {
 		if l := o.links[id]; l != nil {
 			l.close()
@@ -135,27 +133,27 @@
 	}
 }
 
-// Configure hands the pool a newer configuration.
+// Configure passes a newer configuration to the pool.
 func (o *Owner) Configure(c *config.Config) {
 	o.change(func(p *scheduler.Pool, _ time.Time) { p.Configure(c) })
 }
 
-// UpdateWorkers hands the pool what the platform's list says of its workers: those that
-// changed, and whether they are all that there are.
-func (o *Owner) UpdateWorkers(ctx context.Context, listed []worker.Worker, whole bool) {
+// UpdateWorkers passes entries of the platform's worker list to the pool; complete means that the
+// list contains every worker.
+func (o *Owner) UpdateWorkers(ctx context.Context, listed []worker.Worker, complete bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	present := make(map[worker.ID]bool, len(listed))
 	for _, w := range listed {
 		if w.Pool != o.Pool {
-			o.pool.UnlistWorker(w.ID) // it may have started again there under its id
+			o.pool.UnlistWorker(w.ID) // the worker may have restarted there under the same ID
 			continue
 		}
 		present[w.ID] = true
 		o.pool.UpdateWorker(w)
 		o.link(ctx, w.ID)
 	}
-	if whole {
+	if complete {
 		for _, id := range o.pool.Workers() {
 			if !present[id] {
 				o.pool.UnlistWorker(id)
@@ -163,11 +161,11 @@
 		}
 	}
 	o.dropLinks()
-	o.attend()
-	o.poke()
+	o.processPending()
+	o.notifyChange()
 }
 
-// UnlistWorkers hands the pool the news that workers are listed no longer.
+// UnlistWorkers notifies the pool that workers are no longer listed.
 func (o *Owner) UnlistWorkers(ids []worker.ID) {
 	o.change(func(p *scheduler.Pool, _ time.Time) {
 		for _, id := range ids {
@@ -179,19 +177,18 @@
 // link opens the link to a worker that has none. The lock is held.
 func (o *Owner) link(ctx context.Context, id worker.ID) {
 	w, known := o.pool.Worker(id)
-	if !known || o.links[id] != nil || ctx.Err() != nil || o.over != nil {
+	if !known || o.links[id] != nil || ctx.Err() != nil || o.endReason != nil {
 		return
 	}
-	l := &link{owner: o, id: id, parent: ctx, port: o.Workers.Open(w), orders: make(chan struct{}, 1), look: make(chan struct{}, 1)}
+	l := &link{owner: o, id: id, parent: ctx, port: o.Workers.Open(w), orders: make(chan struct{}, 1), pollDue: make(chan struct{}, 1)}
 	o.links[id] = l
 	l.ctx, l.cancel = context.WithCancel(ctx)
 	o.tasks.Add(2)
 	go l.runOrders()
-	go l.runLooks()
+	go l.runPolls()
 }
 
-// dropLinks ends the links of workers that are not known any more. The lock is
-// held.
+// dropLinks closes the links of workers that are no longer known. The lock is held.
 func (o *Owner) dropLinks() {
 	for id, l := range o.links {
 		if _, known := o.pool.Worker(id); !known {
@@ -201,7 +198,7 @@
 	}
 }
 
-// adopt opens links to the workers that an earlier owner has used.
+// adopt opens links to the workers that an earlier owner used.
 func (o *Owner) adopt(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -210,29 +207,29 @@
 	}
 }
 
-// await waits until a batch is kept.
+// await waits until a batch is persisted.
 func (o *Owner) await(ctx context.Context, batch uint64) error {
 	o.mu.Lock()
-	if batch <= o.kept {
+	if batch <= o.persisted {
 		o.mu.Unlock()
 		return nil
 	}
-	kept := make(chan struct{})
-	o.waiting[batch] = append(o.waiting[batch], kept)
+	persisted := make(chan struct{})
+	o.waiting[batch] = append(o.waiting[batch], persisted)
 	o.mu.Unlock()
 	select {
-	case <-kept:
+	case <-persisted:
 		return nil
 	case <-o.done:
-		return errkind.New(errkind.OutcomeUnknown, "the pool's owner changes")
+		return errkind.New(errkind.OutcomeUnknown, "the pool's owner is changing")
 	case <-ctx.Done():
-		return errkind.New(errkind.OutcomeUnknown, "the store has not answered in time")
+		return errkind.New(errkind.OutcomeUnknown, "the store did not respond in time")
 	}
 }
 
-// live returns an error once the pool is not owned any more. The lock is held.
-func (o *Owner) live() error {
-	if o.over != nil {
+// checkOwned returns an error once the pool is no longer owned. The lock is held.
+func (o *Owner) checkOwned() error {
+	if o.endReason != nil {
 		return errkind.New(errkind.Fenced, "pool %s has another owner", o.Pool)
 	}
 	return nil
--- a/services/owner/report.go
+++ b/services/owner/report.go
@@ -11,11 +11,11 @@
 	"github.com/yardbridge/yardbridge/services/scheduler"
 )
 
-// keep makes a change to the pool under the lock, and returns once the batch is kept that the
-// change has named.
-func (o *Owner) keep(ctx context.Context, change func() (batch uint64, err error)) error {
+// persist applies a change to the pool under the lock and returns once the batch that the change
+// names is persisted.
+func (o *Owner) persist(ctx context.Context, change func() (batch uint64, err error)) error {
 	o.mu.Lock()
-	err := o.live()
+	err := o.checkOwned()
 	batch := uint64(0)
 	if err == nil {
 		batch, err = change()
@@ -24,24 +24,24 @@
 	if err != nil {
 		return err
 	}
-	o.poke()
+	o.notifyChange()
 	return o.await(ctx, batch)
 }
 
-// reportWait is how long a report waits for the store to keep the cordons that it was asked for:
-// some appends of 4 ms. On a slow store the report goes without; no worker counts as empty in it
-// whose cordon is not kept, and what the pool needs is known all the same.
+// reportWait is how long a report waits for the store to persist the requested cordons, which
+// normally takes a few appends of 4 ms each. On a slow store the report is returned without them: a
+// worker whose cordon is not persisted does not count as empty, but the report still contains the
+// pool's demand.
 const reportWait = 100 * time.Millisecond
 
-// Report returns what the pool tells of itself, after it has cordoned just the
-// workers that are asked for.
-func (o *Owner) Report(ctx context.Context, asked scheduler.CordonRequest) (scheduler.Report, error) {
+// Report cordons exactly the requested workers and returns the pool's report.
+func (o *Owner) Report(ctx context.Context, cordons scheduler.CordonRequest) (scheduler.Report, error) {
 	bounded, cancel := context.WithTimeout(ctx, reportWait)
 	defer cancel()
-	err := o.keep(bounded, func() (uint64, error) {
-		batch, err := o.pool.Cordon(asked, o.Clock.Now())
+	err := o.persist(bounded, func() (uint64, error) {
+		batch, err := o.pool.Cordon(cordons, o.Clock.Now())
 		if err == nil {
-			o.attend()
+			o.processPending()
 		}
 		return batch, err
 	})
@@ -50,16 +50,16 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if err := o.live(); err != nil {
+	if err := o.checkOwned(); err != nil {
 		return scheduler.Report{}, err
 	}
-	return o.pool.Report(asked, o.Clock.Now()), nil
+	return o.pool.Report(cordons, o.Clock.Now()), nil
 }
 
-// UpdateAllowances gives the pool other allowances, if the question brings some, and returns what it tells
-// of them once it has kept what they lower.
+// UpdateAllowances sets the pool's allowances if the query contains any, and returns the quota
+// report once the lowered allowances are persisted.
 func (o *Owner) UpdateAllowances(ctx context.Context, q quota.Query) (quota.Report, error) {
-	err := o.keep(ctx, func() (uint64, error) {
+	err := o.persist(ctx, func() (uint64, error) {
 		if q.Allowances == nil {
 			return 0, nil
 		}
@@ -73,7 +73,7 @@
 	return o.pool.QuotaReport(q, o.Clock.Now()), nil
 }
 
-// Peek returns what the pool tells of itself, and changes nothing.
+// Peek returns the pool's report without changing anything.
 func (o *Owner) Peek() scheduler.Report {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/services/owner/restart_test.go
+++ b/services/owner/restart_test.go
@@ -18,9 +18,9 @@
 	"github.com/yardbridge/yardbridge/standin/world"
 )
 
-// TestAWorkerListedInAnotherPoolIsMissed guards against a worker that is used on though its entry
-// names another pool: it has started again there under its id.
-func TestAWorkerListedInAnotherPoolIsMissed(t *testing.T) {
+// TestWorkerListedInAnotherPoolIsRemoved guards against the use of a worker whose list entry names
+// another pool: it has restarted there under the same ID.
+func TestWorkerListedInAnotherPoolIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := world.New(1)
 		listed := worker.Worker{Pool: "p", Instance: "m-1", Address: "a", Capacity: job.Size{CPU: 1000}}
@@ -35,10 +35,10 @@
 	})
 }
 
-// TestALinkIsOpenedAnewForAnotherAddress guards against a worker that is looked at where nothing
-// answers: it has another address by its newest entry. That the calls of the link before got no
-// answer says nothing of it.
-func TestALinkIsOpenedAnewForAnotherAddress(t *testing.T) {
+// TestLinkReopenedForNewAddress guards against polling a worker at an old address when its newest
+// list entry has another one. Calls of the old link that get no response say nothing about the
+// worker.
+func TestLinkReopenedForNewAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := open(t, world.New(1))
 		var opened []string
--- a/services/owner/submit.go
+++ b/services/owner/submit.go
@@ -11,115 +11,115 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// The patience with a store that does not answer. It answers in 4 ms, and 60 times
-// as long on its slow days.
+// Time limits for a store that does not respond. It usually responds in 4 ms, and takes up to 60
+// times as long when it is slow.
 const (
-	stuckRefuse = 400 * time.Millisecond // an append under way for so long: what comes is refused
-	stuckTake   = 600 * time.Millisecond // a job that has waited so long and is in no append is refused
+	stuckReject   = 400 * time.Millisecond // after an append has been pending this long, new jobs are rejected
+	stuckWithdraw = 600 * time.Millisecond // a job that has waited this long and is in no append is rejected
 )
 
-// Submit takes a job and returns once it is kept. While the store does not answer,
-// a job that is in no append is refused at once, which is true: it was not kept.
+// Submit accepts a job and returns once it is persisted. While the store does not respond, a job
+// that is in no append is rejected at once: it certainly was not persisted.
 func (o *Owner) Submit(ctx context.Context, s job.Submission) error {
 	batch, err := o.submit(s)
 	if err != nil {
 		return err
 	}
-	o.poke()
-	bounded, cancel := context.WithTimeout(ctx, stuckTake)
+	o.notifyChange()
+	bounded, cancel := context.WithTimeout(ctx, stuckWithdraw)
 	err = o.await(bounded, batch)
 	cancel()
 	if err == nil {
-		return o.taken(s.ID)
+		return o.checkPersisted(s.ID)
 	}
 	if !errkind.Is(err, errkind.OutcomeUnknown) || ctx.Err() != nil {
 		return err
 	}
 	if o.withdraw(s.ID) {
-		return errkind.New(errkind.LogUnavailable, "the store has not answered for %s; the job was not kept", stuckTake)
+		return errkind.New(errkind.LogUnavailable, "the store has not responded for %s; the job was not persisted", stuckWithdraw)
 	}
 	if err := o.await(ctx, batch); err != nil {
 		return err
 	}
-	return o.taken(s.ID)
+	return o.checkPersisted(s.ID)
 }
 
-// taken returns an error where a job was withdrawn while two calls had submitted
-// it: the batch that both wait for is kept without it.
-func (o *Owner) taken(id job.ID) error {
+// checkPersisted returns an error if a job was withdrawn while two calls were submitting it: the
+// batch that both wait for is persisted without the job.
+func (o *Owner) checkPersisted(id job.ID) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.pool.Persisted(id) {
 		return nil
 	}
-	return errkind.New(errkind.LogUnavailable, "the store did not answer in time; the job was not kept")
+	return errkind.New(errkind.LogUnavailable, "the store did not respond in time; the job was not persisted")
 }
 
-// submit takes a job and returns the batch that carries it.
+// submit accepts a job and returns the batch that contains it.
 func (o *Owner) submit(s job.Submission) (uint64, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if err := o.live(); err != nil {
+	if err := o.checkOwned(); err != nil {
 		return 0, err
 	}
 	if err := o.pool.CheckAccess(s.ID, s.Customer); errkind.Is(err, errkind.Forbidden) {
 		return 0, err
 	}
-	if o.Journal.IsStuck(stuckRefuse) && !o.pool.Has(s.ID) {
+	if o.Journal.IsStuck(stuckReject) && !o.pool.Has(s.ID) {
 		stuck := o.Journal.PendingFor()
 		o.Logger.Info().Str("event", "submit").Str("job", string(s.ID)).Dur("stuck", stuck).Str("outcome", "refused").
-			Msg("a job is refused since the store does not answer")
-		return 0, errkind.New(errkind.LogUnavailable, "the store has not answered for %s", stuck.Round(time.Millisecond))
+			Msg("job rejected: the store does not respond")
+		return 0, errkind.New(errkind.LogUnavailable, "the store has not responded for %s", stuck.Round(time.Millisecond))
 	}
 	if step, beyond := o.pool.ExceedsLimit(s); beyond {
 		o.Logger.Info().Str("event", "submit").Str("job", string(s.ID)).Str("customer", s.Customer).Int("step", step).Str("outcome", "refused").
-			Msg("a job is refused since its customer may not have so much running")
-		return 0, errkind.New(errkind.Infeasible, "step %d: what begins together is larger than all that customer %s may have running", step, s.Customer)
+			Msg("job rejected: it exceeds what its customer may have running")
+		return 0, errkind.New(errkind.Infeasible, "step %d: the tasks that start together exceed the limit of running tasks of customer %s", step, s.Customer)
 	}
 	if full := o.pool.ExcessWait(s, o.Clock.Now()); full > 0 {
 		o.Logger.Info().Str("event", "submit").Str("job", string(s.ID)).Dur("full", full).Str("outcome", "refused").
-			Msg("a job is refused since it would not be done in time")
-		return 0, errkind.NewRetry(errkind.Overloaded, full, "the pool is full; a job that comes now would be %s late", full.Round(time.Millisecond))
+			Msg("job rejected: it would not complete in time")
+		return 0, errkind.NewRetry(errkind.Overloaded, full, "the pool is full; a job submitted now would be %s late", full.Round(time.Millisecond))
 	}
 	return o.pool.Submit(s, o.Clock.Now()), nil
 }
 
-// withdraw takes a job back that is in no append yet.
+// withdraw removes a job that is in no append yet.
 func (o *Owner) withdraw(id job.ID) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.over == nil && o.pool.Withdraw(id)
+	return o.endReason == nil && o.pool.Withdraw(id)
 }
 
-// Cancel ends a job on behalf of a customer and returns once that is kept.
+// Cancel ends a job on behalf of a customer and returns once the cancellation is persisted.
 func (o *Owner) Cancel(ctx context.Context, id job.ID, by string) error {
 	batch, err := o.cancel(id, by)
 	if err != nil {
-		return o.sure(ctx, err)
+		return o.confirmGone(ctx, err)
 	}
-	o.poke()
+	o.notifyChange()
 	return o.await(ctx, batch)
 }
 
-// cancel ends a job and returns the batch that carries that.
+// cancel ends a job and returns the batch that contains the cancellation.
 func (o *Owner) cancel(id job.ID, by string) (uint64, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if err := o.live(); err != nil {
+	if err := o.checkOwned(); err != nil {
 		return 0, err
 	}
 	if err := o.pool.CheckAccess(id, by); err != nil {
 		return 0, err
 	}
-	defer o.attend()
+	defer o.processPending()
 	return o.pool.Cancel(id, o.Clock.Now())
 }
 
-// State returns what a caller is told of a job on behalf of a customer.
+// State returns the state of a job on behalf of a customer.
 func (o *Owner) State(ctx context.Context, id job.ID, by string) (job.State, error) {
 	state, err := o.state(id, by)
 	if err != nil {
-		return "", o.sure(ctx, err)
+		return "", o.confirmGone(ctx, err)
 	}
 	return state, nil
 }
@@ -127,7 +127,7 @@
 func (o *Owner) state(id job.ID, by string) (job.State, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if err := o.live(); err != nil {
+	if err := o.checkOwned(); err != nil {
 		return "", err
 	}
 	if err := o.pool.CheckAccess(id, by); err != nil {
@@ -137,24 +137,24 @@
 	return state, nil
 }
 
-// sure returns the error that a job is not known only if the pool was owned here
-// after it was asked for: an owner that has been replaced does not know what came
-// since, and must not say that it is not there.
-func (o *Owner) sure(ctx context.Context, err error) error {
+// confirmGone returns a Gone error only if the store confirms that this node owned the pool after
+// the request arrived. An owner that has been replaced does not know the jobs submitted since, and
+// must not report them as unknown.
+func (o *Owner) confirmGone(ctx context.Context, err error) error {
 	if !errkind.Is(err, errkind.Gone) {
 		return err
 	}
 	if refused := o.Journal.Confirm(ctx); refused != nil {
-		return errkind.New(errkind.Fenced, "whether pool %s is owned here is not known: %v", o.Pool, refused)
+		return errkind.New(errkind.Fenced, "can't confirm that pool %s is owned here: %v", o.Pool, refused)
 	}
 	return err
 }
 
-// Pending returns how many jobs of a queue have not begun.
+// Pending returns how many jobs of a queue have not started.
 func (o *Owner) Pending(queue string) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if err := o.live(); err != nil {
+	if err := o.checkOwned(); err != nil {
 		return 0, err
 	}
 	return o.pool.Pending(queue), nil
--- a/services/owner/submit_test.go
+++ b/services/owner/submit_test.go
@@ -26,7 +26,7 @@
 	return job.Submission{ID: job.ID(id), Queue: "h/q/", Spec: "s", Steps: []job.Step{{Count: 1, Size: job.Size{CPU: 100}, Estimate: time.Second}}}
 }
 
-// open returns an owner of a pool in a model of the platform.
+// open returns an owner of a pool on a simulated platform.
 func open(t *testing.T, w *world.World) *Owner {
 	t.Helper()
 	store := w.Store("n1")
@@ -39,9 +39,9 @@
 	return o
 }
 
-// TestWithdrawnJobIsAcceptedByNoCall has two calls submit one job while the store
-// does not answer: the first takes the job back, so that the second must not be
-// told that it is kept.
+// TestWithdrawnJobIsAcceptedByNoCall guards against a false acceptance: two calls submit one job
+// while the store does not respond. The first call withdraws the job, so the second must not report
+// it as persisted.
 func TestWithdrawnJobIsAcceptedByNoCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := world.New(1)
@@ -54,7 +54,7 @@
 		w.SetFaults("n1", func(f *world.Faults) { f.StoreUnresponsive = true })
 		first, second, carried := make(chan error, 1), make(chan error, 1), make(chan error, 1)
 		go func() { carried <- o.Submit(ctx, submission("2")) }()
-		time.Sleep(100 * time.Millisecond) // an append carries job 2, and none yet job 3
+		time.Sleep(100 * time.Millisecond) // an append carries job 2, and none carries job 3 yet
 		go func() { first <- o.Submit(ctx, submission("3")) }()
 		time.Sleep(50 * time.Millisecond)
 		go func() { second <- o.Submit(ctx, submission("3")) }()
@@ -71,12 +71,13 @@
 	})
 }
 
-// TestReportOnASlowStore: the store's answers take 0.3 s, and the holder of the duty for instances
-// waits 0.4 s for a report. It has one at once, in which no worker is empty whose cordon is not
-// kept yet; in a rush it would learn no need else for as long as the store is slow.
+// TestReportOnASlowStore guards against reports that wait for a slow store. The store takes 0.3 s
+// to respond, and the holder of the role for instances waits 0.4 s for a report. The report must
+// arrive at once and must not count a worker as empty whose cordon is not persisted. Otherwise the
+// holder would not learn of a surge's demand while the store is slow.
 func TestReportOnASlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const answer, patience = 300 * time.Millisecond, 200 * time.Millisecond
+		const storeLatency, maxReportTime = 300 * time.Millisecond, 200 * time.Millisecond
 		w := world.New(1)
 		id := w.AddWorker("m-1", "p", "r-0", job.Size{CPU: 16000, MemoryMB: 65536})
 		o := open(t, w)
@@ -85,19 +86,19 @@
 		go func() { ended <- o.Run(ctx) }()
 		o.UpdateWorkers(ctx, []worker.Worker{{ID: id, Pool: "p", Instance: "m-1", Address: string(id), Capacity: job.Size{CPU: 16000, MemoryMB: 65536}}}, true)
 		time.Sleep(time.Second)
-		w.SetFaults("n1", func(f *world.Faults) { f.StoreLatency = answer })
+		w.SetFaults("n1", func(f *world.Faults) { f.StoreLatency = storeLatency })
 		began, empty := time.Now(), time.Duration(0)
 		for n := uint64(1); empty == 0; n++ {
-			asked := time.Now()
+			requested := time.Now()
 			r, err := o.Report(ctx, scheduler.CordonRequest{Epoch: 1, Number: n, Workers: []scheduler.CordonedWorker{{ID: id}}})
 			assert.NilError(t, err)
-			assert.Assert(t, time.Since(asked) <= patience, "a report took %s", time.Since(asked))
+			assert.Assert(t, time.Since(requested) <= maxReportTime, "a report took %s", time.Since(requested))
 			assert.Equal(t, len(r.Workers), 1)
 			if r.Workers[0].Empty {
 				empty = time.Since(began)
 			}
 		}
-		assert.Assert(t, empty >= answer, "the cordon was kept after %s", empty)
+		assert.Assert(t, empty >= storeLatency, "the cordon was persisted after %s", empty)
 		cancel()
 		<-ended
 	})
