--- a/services/fleet/action.go
+++ b/services/fleet/action.go
@@ -10,32 +10,32 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// stage is how far an action is.
+// stage is the progress of an action.
 type stage uint8
 
 // The stages of an action.
 const (
-	emptying stage = iota // its worker is to be emptied
-	ordered               // its order is under way or its outcome is not known
-	settling              // done; the instance is not back yet
+	emptying stage = iota // its worker is being emptied
+	ordered               // its order is in progress or has an unknown outcome
+	settling              // the order is done; the list does not show the effect yet
 )
 
-// action is what is to be done to one instance.
+// action is a planned move or maintenance of one instance.
 type action struct {
-	instance string
-	worker   worker.ID // the worker that it ends, "" for none
-	born     int64     // its start, as its pool's owner has told, 0 for not known
-	from     string    // the pool that the instance is in
-	to       string    // the pool that it moves to, "" for maintenance
-	wave     int       // that it is maintained for
-	stage    stage
-	began    time.Time
-	sent     time.Time // when its order was given
-	unknown  time.Time // when a try of its order was last given up without an answer
+	instance  string
+	worker    worker.ID // the worker that the action ends, "" for none
+	startedAt int64     // the worker's start time as reported by its pool's owner, 0 if unknown
+	from      string    // the pool that the instance is in
+	to        string    // the pool that it moves to, "" for maintenance
+	wave      int       // number of the wave that it is maintained for
+	stage     stage
+	began     time.Time
+	sent      time.Time // when its order was last sent
+	unknown   time.Time // when an attempt of its order last ended with an unknown outcome
 }
 
-// over reports whether the list shows that a done action has taken effect.
-func (a *action) over(i port.Instance) bool {
+// finished reports whether the list shows that a completed order has taken effect.
+func (a *action) finished(i port.Instance) bool {
 	switch {
 	case a.stage != settling || i.Condition != port.Up:
 		return false
--- a/services/fleet/doc.go
+++ b/services/fleet/doc.go
@@ -1,8 +1,7 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package fleet decides which pool has which instances and when they are
-// maintained. One node at a time does so for all pools; a pool's owner empties
-// the workers that are to go, and nothing is done to an instance before it has
-// said that its worker is empty.
+// Package fleet decides which instances belong to which pool and when they are maintained. One node
+// at a time decides this for all pools. A pool's owner empties the workers to be removed, and no
+// order is sent to an instance before the owner has reported its worker as empty.
 package fleet
--- a/services/fleet/even.go
+++ b/services/fleet/even.go
@@ -5,26 +5,26 @@
 
 import "github.com/yardbridge/yardbridge/services/port"
 
-// Where all pools together need more instances than there are, none may hold what it
-// has got first while others have next to nothing.
+// If all pools together need more instances than exist, the instances are balanced between them, so
+// that the first pools do not keep all instances while others have almost none.
 
-// The bounds of moves between pools that both lack instances.
+// Bounds of moves between pools that both lack instances.
 const (
-	// evenMargin is by how many times the pool that gives must be better served after
-	// the move. An instance that moves is lost for some two seconds: until it is empty,
-	// and until its worker is back.
-	evenMargin = 1.5
-	// evenPart is of the instances of a pool how many may be on their way out at once,
-	// at least one: need changes within seconds.
-	evenPart = 0.25
+	// balanceMargin is how many times better served the source pool must still be after the move. A
+	// moving instance is unavailable for about two seconds: until it is empty and its worker has
+	// started again.
+	balanceMargin = 1.5
+	// balancePart is the fraction of a pool's instances that may be leaving at once, at least one
+	// instance: demand changes within seconds.
+	balancePart = 0.25
 )
 
-// even begins moves from the pools that are served best to those served worst, as long
-// as these lack instances and none is to be had otherwise.
-func (v *view) even() []*action {
+// balance begins moves from the best served pools to the worst served ones, as long as the latter
+// lack instances and no other instances are available.
+func (v *view) balance() []*action {
 	var began []*action
 	for {
-		from, to := v.uneven()
+		from, to := v.unbalanced()
 		if to == "" {
 			return began
 		}
@@ -33,14 +33,13 @@
 			return began
 		}
 		a := v.begin(i, to, 0)
-		v.take(a)
+		v.add(a)
 		began = append(began, a)
 	}
 }
 
-// uneven returns the pool that is to give an instance and the one that is to get it,
-// "" for none.
-func (v *view) uneven() (from, to string) {
+// unbalanced returns the source and the destination pool of the next move, "" for none.
+func (v *view) unbalanced() (from, to string) {
 	least, most := 0.0, 0.0
 	for pool, p := range v.pools {
 		if v.supply(pool) >= p.hard {
@@ -51,32 +50,32 @@
 		}
 	}
 	for pool := range v.pools {
-		if pool == to || v.tally.leaving[pool] >= max(1, int(evenPart*float64(v.supply(pool)))) {
+		if pool == to || v.counts.leaving[pool] >= max(1, int(balancePart*float64(v.supply(pool)))) {
 			continue
 		}
 		if s := v.served(pool, -1); from == "" || s > most || s == most && pool < from {
 			from, most = pool, s
 		}
 	}
-	if to == "" || from == "" || most < evenMargin*least {
+	if to == "" || from == "" || most < balanceMargin*least {
 		return "", ""
 	}
 	return from, to
 }
 
-// served returns which part of its need a pool has met with some instances more, what
-// lasts aside on both sides.
+// served returns the fraction of a pool's need that is met if it gets a number of additional
+// instances. Long-running tasks are excluded on both sides.
 func (v *view) served(pool string, more int) float64 {
 	p := v.pools[pool]
-	lasting := instances(p.report.Lasting, v.usual())
+	lasting := instances(p.report.Lasting, v.smallest())
 	return float64(max(v.supply(pool)+more-lasting, 0)) / float64(max(p.hard-lasting, 1))
 }
 
-// emptiest returns the instance of a pool with the least to move, without tasks that
-// last: those would only go elsewhere in the pool.
+// emptiest returns the instance of a pool with the least to evacuate and without long-running
+// tasks, which would only move to other instances of the same pool.
 func (v *view) emptiest(from, to string) (port.Instance, bool) {
-	for _, i := range v.tally.free[from] {
-		if w := v.worker(i); w != nil && w.Lasting == 0 && v.allowed(i, to) && v.spared(from, i) {
+	for _, i := range v.counts.free[from] {
+		if w := v.worker(i); w != nil && w.Lasting == 0 && v.allowed(i, to) && v.canSpare(from, i) {
 			return i, true
 		}
 	}
--- a/services/fleet/lend.go
+++ b/services/fleet/lend.go
@@ -10,16 +10,16 @@
 	"github.com/yardbridge/yardbridge/models/quota"
 )
 
-// loan is what runs beside the plans for instances: it decides on the allowances of all pools
-// whenever they have reported. It waits for the store and for what pools keep, which plans for
-// instances do not.
-type loan struct {
+// allowanceLoop decides on the allowances of all pools whenever they have reported. It runs beside
+// the instance planner because it waits for the store and for the pools to persist their
+// allowances, which the planner does not.
+type allowanceLoop struct {
 	m     *Manager
-	ended chan error // gets why it has ended
+	ended chan error // receives the reason for the end
 }
 
-// run decides on allowances until the context ends or another node holds the duty.
-func (l loan) run(ctx context.Context) {
+// run decides on allowances until the context ends or another node holds the role.
+func (l allowanceLoop) run(ctx context.Context) {
 	for {
 		select {
 		case <-l.m.reported:
@@ -27,26 +27,28 @@
 			l.ended <- nil
 			return
 		}
-		if err := l.m.lend(ctx); err != nil {
+		if err := l.m.updateAllowances(ctx); err != nil {
 			l.ended <- err
 			return
 		}
 	}
 }
 
-// lendTurns is how often one after the other allowances are decided on: room that another
-// pool has passes in three turns (what all want, giving back, lending), some 30 ms each.
-const lendTurns = 3
+// lendRounds is how many rounds of allowance decisions follow each other. Capacity passes from one
+// pool to another in three rounds of about 30 ms each: collecting the demand, returning and
+// lending.
+const lendRounds = 3
 
-// lend decides on the allowances of all pools, keeps them and tells the pools.
-func (m *Manager) lend(ctx context.Context) error {
+// updateAllowances decides on the allowances of all pools, persists them and sends them to the
+// pools.
+func (m *Manager) updateAllowances(ctx context.Context) error {
 	c := m.Config()
 	if c == nil {
 		return nil
 	}
-	for range lendTurns {
+	for range lendRounds {
 		m.mu.Lock()
-		records, err := m.lends.Plan(c, m.Clock.Now())
+		records, err := m.lender.Plan(c, m.Clock.Now())
 		m.mu.Unlock()
 		if err != nil {
 			return err
@@ -56,70 +58,70 @@
 				return err
 			}
 		}
-		if !m.tellAllowances(ctx) {
+		if !m.sendAllowances(ctx) {
 			return nil
 		}
 	}
 	return nil
 }
 
-// The bounds of questions about allowances.
+// Bounds of allowance queries.
 const (
-	// allowTimeout bounds one: what it lowers is kept in one or two appends, each of which
-	// takes a quarter of a second on the store's slow days.
+	// allowTimeout bounds one query. Lowered allowances are persisted in one or two appends, each
+	// of which takes a quarter of a second while the store is slow.
 	allowTimeout = time.Second
-	// turnWait is how long a turn waits for answers: an owner that is swamped must not keep
-	// room from the other pools.
-	turnWait = 150 * time.Millisecond
+	// roundWait is how long a round waits for responses: an overloaded owner must not keep capacity
+	// from the other pools.
+	roundWait = 150 * time.Millisecond
 )
 
-// tellAllowances asks the pools that have not said yet that they have their allowances, or
-// what is wanted of them, and reports whether there were any.
-func (m *Manager) tellAllowances(ctx context.Context) bool {
+// sendAllowances queries the pools that have not confirmed their allowances yet or whose accounts
+// are requested, and reports whether there were any.
+func (m *Manager) sendAllowances(ctx context.Context) bool {
 	m.mu.Lock()
-	var due []question
-	for _, pool := range m.lends.DuePools() {
-		if !m.asking[pool] {
-			m.asking[pool] = true
-			due = append(due, question{m, pool, m.lends.Query(pool)})
+	var queries []allowanceQuery
+	for _, pool := range m.lender.DuePools() {
+		if !m.querying[pool] {
+			m.querying[pool] = true
+			queries = append(queries, allowanceQuery{m, pool, m.lender.Query(pool)})
 		}
 	}
 	m.mu.Unlock()
-	answers := make(chan struct{}, len(due))
-	for _, q := range due {
-		go q.run(ctx, answers)
+	responses := make(chan struct{}, len(queries))
+	for _, q := range queries {
+		go q.run(ctx, responses)
 	}
-	late := m.Clock.After(turnWait)
-	for range due {
+	late := m.Clock.After(roundWait)
+	for range queries {
 		select {
-		case <-answers:
+		case <-responses:
 		case <-late:
 			return true
 		}
 	}
-	return len(due) > 0
+	return len(queries) > 0
 }
 
-// question is a question to a pool's owner about its allowances.
-type question struct {
-	m    *Manager
-	pool string
-	ask  quota.Query
+// allowanceQuery is one allowance query to a pool's owner.
+type allowanceQuery struct {
+	m     *Manager
+	pool  string
+	query quota.Query
 }
 
-// run asks the pool's owner.
-func (q question) run(ctx context.Context, answers chan<- struct{}) {
+// run sends the query and applies the response.
+func (q allowanceQuery) run(ctx context.Context, responses chan<- struct{}) {
 	bounded, cancel := context.WithTimeout(ctx, allowTimeout)
 	defer cancel()
-	defer func() { answers <- struct{}{} }()
+	defer func() { responses <- struct{}{} }()
 	m, pool := q.m, q.pool
-	s, err := m.UpdateAllowances(bounded, pool, q.ask)
+	s, err := m.UpdateAllowances(bounded, pool, q.query)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.asking, pool)
+	delete(m.querying, pool)
 	if err != nil {
-		m.Logger.Debug().Str("event", "allowance").Str("pool", pool).Err(err).Msg("a pool's owner does not answer")
+		m.Logger.Debug().Str("event", "allowance").Str("pool", pool).Err(err).Msg("no response from the pool's owner to an allowance query")
 		return
 	}
-	m.lends.ApplyReport(pool, s, m.Clock.Now())
+	m.lender.ApplyReport(pool, s, m.Clock.Now())
 }
--- a/services/fleet/manager.go
+++ b/services/fleet/manager.go
@@ -26,8 +26,8 @@
 	"github.com/yardbridge/yardbridge/services/scheduler"
 )
 
-// Manager decides on all instances while this node has that duty; its fields are
-// set before Claim.
+// Manager decides on all instances while this node holds that role. Its exported fields are set
+// before Claim.
 type Manager struct {
 	Journal   *journal.Journal
 	Instances port.Instances
@@ -37,62 +37,61 @@
 	Limits    Limits
 	// Config returns the newest configuration, nil before the first.
 	Config func() *config.Config
-	// Waves returns the waves that the operators have asked for.
+	// Waves returns the maintenance waves that the operators have requested.
 	Waves func() []wave.Wave
-	// ReportWave tells the operators that a wave runs or is done.
+	// ReportWave reports to the operators that a wave is running or done.
 	ReportWave func(ctx context.Context, wave int, done bool) error
-	// UpdateAllowances asks a pool's owner for what it tells of its allowances, and may give it others.
+	// UpdateAllowances queries a pool's owner for its quota report and may send it new allowances.
 	UpdateAllowances func(ctx context.Context, pool string, q quota.Query) (quota.Report, error)
-	// RequestReport asks a pool's owner for its report, and for cordons.
-	RequestReport func(ctx context.Context, pool string, asked scheduler.CordonRequest) (scheduler.Report, error)
+	// RequestReport requests a pool's report from its owner and sends it the cordons.
+	RequestReport func(ctx context.Context, pool string, cordons scheduler.CordonRequest) (scheduler.Report, error)
 
 	done     chan struct{}
-	reported chan struct{} // pools have reported
-	asked    uint64        // questions to owners so far
+	reported chan struct{} // signals that the pools have reported
+	requests uint64        // requests to owners so far
 	view     view
-	lends    lending.Lender
-	asking   map[string]bool   // pools whose owner is being asked about allowances
-	past     map[string]intent // newest order to each instance
+	lender   lending.Lender
+	querying map[string]bool   // pools with an allowance query in progress
+	orders   map[string]intent // newest order to each instance
 	mu       sync.Mutex
 }
 
-// Limits are the bounds of orders to instances.
+// Limits are the time limits of orders to instances.
 type Limits struct {
-	MaintenanceTime time.Duration // that a maintenance takes
-	HolderLease     time.Duration // between the orders of two holders to one instance
+	MaintenanceTime time.Duration // duration of a maintenance
+	HolderLease     time.Duration // minimum time between orders of two holders to one instance
 }
 
-// The keys of the manager's journal begin with these.
+// Prefixes of the keys in the manager's journal.
 const (
-	keyIntent = "i/" // with the instance's name
-	keyWave   = "w/" // with the wave's number
-	keyDone   = "d/" // with the wave's number and the instance's name
+	keyIntent = "i/" // followed by the instance's name
+	keyWave   = "w/" // followed by the wave's number
+	keyDone   = "d/" // followed by the wave's number and the instance's name
 )
 
-// The pace of the manager.
+// Time constants of the manager.
 const (
 	period        = 120 * time.Millisecond // from one plan to the next
 	listTimeout   = time.Second
-	confirmAfter  = time.Second // without an append, until the store is asked whether the duty is still held
+	confirmAfter  = time.Second // without an append, until the store is asked to confirm that the role is still held
 	reportTimeout = 400 * time.Millisecond
-	// unsettled is for how long an order whose outcome is not known may be carried
-	// out yet.
+	// unsettled is how long an order with an unknown outcome may still take effect.
 	unsettled = 8 * time.Second
-	// intentAge is how old an intent may be when its order is given: another
-	// holder counts from the intent's time until it may order the instance.
+	// intentAge is the maximum age of an intent when its order is sent: another holder waits from
+	// the intent's time until it may send orders to the instance.
 	intentAge = 500 * time.Millisecond
-	// clocks is by how much the clocks of two nodes may differ.
-	clocks = 500 * time.Millisecond
-	// settleTime is how long a done order may take to show in the list.
+	// clockSkew is the maximum difference between the clocks of two nodes.
+	clockSkew = 500 * time.Millisecond
+	// settleTime is how long a completed order may take to appear in the list.
 	settleTime = 15 * time.Second
-	// doneBefore is after which time an instance that the list shows in the same
-	// life was not taken down by an order: it had been done before. An order shows
-	// in the list with the next reading, which takes two seconds at most.
-	doneBefore = 3 * time.Second
+	// noEffectAfter is the time after which an instance that the list still shows in the same
+	// incarnation was not taken down by the order: the order had already been done before. A new
+	// order appears in the next list read, after at most two seconds.
+	noEffectAfter = 3 * time.Second
 )
 
-// Claim gives this node the duty, unless another claims it at the same time, and
-// takes over what earlier holders have kept.
+// Claim gives this node the role, unless another node claims it at the same time, and restores the
+// state that earlier holders have persisted.
 func (m *Manager) Claim(ctx context.Context, node string) error {
 	records, err := m.Journal.Claim(ctx, node)
 	if err != nil {
@@ -101,27 +100,27 @@
 	m.Node = node
 	m.done = make(chan struct{})
 	m.reported = make(chan struct{}, 1)
-	m.asking = make(map[string]bool)
-	m.lends = lending.Lender{Epoch: m.Epoch(), Logger: m.Logger}
-	m.past = make(map[string]intent)
+	m.querying = make(map[string]bool)
+	m.lender = lending.Lender{Epoch: m.Epoch(), Logger: m.Logger}
+	m.orders = make(map[string]intent)
 	m.view = view{
-		pools: make(map[string]*poolState), actions: make(map[string]*action), barred: make(map[bar]bool), repair: m.Limits.MaintenanceTime,
+		pools: make(map[string]*poolState), actions: make(map[string]*action), barred: make(map[barredMove]bool), maintenanceTime: m.Limits.MaintenanceTime,
 	}
 	if err := m.restore(records); err != nil {
 		return err
 	}
 	m.Logger.Info().Str("event", "claim").Uint64("epoch", m.Epoch()).Int("records", len(records)).Str("outcome", "holder").
-		Msg("the duty for instances is held")
+		Msg("role for instances claimed")
 	return nil
 }
 
-// Epoch returns the token of orders.
+// Epoch returns the fencing token of orders.
 func (m *Manager) Epoch() uint64 { return m.Journal.Epoch() }
 
-// Done is closed once the duty is not held any more.
+// Done returns a channel that is closed once the role is no longer held.
 func (m *Manager) Done() <-chan struct{} { return m.done }
 
-// restore takes over the journal of earlier holders.
+// restore loads the journal records of earlier holders.
 func (m *Manager) restore(records []port.Record) error {
 	done := make(map[int][]string)
 	seen := make(map[int]time.Time)
@@ -129,7 +128,7 @@
 		if len(r.Value) == 0 {
 			continue
 		}
-		if err := m.lends.Restore(r, m.Clock.Now()); err != nil {
+		if err := m.lender.Restore(r, m.Clock.Now()); err != nil {
 			return err
 		}
 		if _, isIntent := strings.CutPrefix(r.Key, keyIntent); isIntent {
@@ -137,7 +136,7 @@
 			if err := codec.Unmarshal(r.Value, &i); err != nil {
 				return err
 			}
-			m.past[i.Instance] = i
+			m.orders[i.Instance] = i
 		}
 		if name, isWave := strings.CutPrefix(r.Key, keyWave); isWave {
 			var at int64
@@ -162,10 +161,10 @@
 		}
 		m.view.waves = append(m.view.waves, w)
 	}
-	for name, i := range m.past {
+	for name, i := range m.orders {
 		if !i.Known {
 			m.view.actions[name] = &action{
-				instance: name, worker: i.Worker, born: i.Born, from: i.From, to: i.To, wave: i.Wave, stage: ordered,
+				instance: name, worker: i.Worker, startedAt: i.Born, from: i.From, to: i.To, wave: i.Wave, stage: ordered,
 				began: m.Clock.FromWallTime(time.UnixMilli(i.At)), sent: m.Clock.FromWallTime(time.UnixMilli(i.At)),
 			}
 		}
@@ -173,11 +172,11 @@
 	return nil
 }
 
-// Run does the duty until the context ends or another node holds it.
+// Run performs the role until the context ends or another node holds it.
 func (m *Manager) Run(ctx context.Context) error {
 	defer close(m.done)
 	ctx, cancel := context.WithCancel(ctx)
-	loop := loan{m, make(chan error, 1)}
+	loop := allowanceLoop{m, make(chan error, 1)}
 	go loop.run(ctx)
 	err := m.steps(ctx, loop.ended)
 	cancel()
@@ -185,8 +184,8 @@
 	return err
 }
 
-// steps does the duty until the context ends, another node holds it, or a channel brings why
-// it must end.
+// steps performs the role until the context ends, another node holds it, or the channel delivers
+// the reason for the end.
 func (m *Manager) steps(ctx context.Context, ended chan error) error {
 	for {
 		if err := m.step(ctx); err != nil {
@@ -208,21 +207,21 @@
 	}
 }
 
-// step looks at everything once and acts. An error ends the duty.
+// step makes one plan and executes it. An error ends the role.
 func (m *Manager) step(ctx context.Context) error {
 	c := m.Config()
 	if c == nil {
 		return nil
 	}
-	if err := m.takeWaves(ctx); err != nil {
+	if err := m.acceptWaves(ctx); err != nil {
 		return err
 	}
 	bounded, cancel := context.WithTimeout(ctx, listTimeout)
 	list, err := m.Instances.List(bounded)
 	cancel()
 	if err != nil {
-		m.Logger.Warn().Str("event", "instances").Err(err).Msg("the list of instances can't be read")
-		m.reports(ctx, c)
+		m.Logger.Warn().Str("event", "instances").Err(err).Msg("instance list can't be read")
+		m.collectReports(ctx, c)
 		return nil
 	}
 	m.view.instances = make(map[string]port.Instance, len(list))
@@ -232,22 +231,22 @@
 	m.view.now = m.Clock.Now()
 	m.view.headroom = c.Headroom()
 	m.settle()
-	m.reports(ctx, c)
+	m.collectReports(ctx, c)
 	began := m.view.plan()
 	m.logCapacity()
 	for _, a := range began {
 		m.Logger.Info().Str("event", "action").Str("instance", a.instance).Str("worker", string(a.worker)).Str("from", a.from).
 			Str("to", a.to).Int("wave", a.wave).Int("level", m.view.level(a.to)).Int("supply", m.view.supply(a.to)).
-			Msg("something is to be done to an instance")
+			Msg("action on an instance begun")
 	}
 	m.cordon(ctx, began)
 	if err := m.act(ctx); err != nil {
 		return err
 	}
-	return m.tellWaves(ctx)
+	return m.reportWaves(ctx)
 }
 
-// logCapacity logs what pools need and have where that has changed.
+// logCapacity logs each pool's need and supply when they have changed.
 func (m *Manager) logCapacity() {
 	for _, name := range slices.Sorted(maps.Keys(m.view.pools)) {
 		p := m.view.pools[name]
@@ -259,28 +258,28 @@
 		m.Logger.Info().Str("event", "capacity").Str("of", name).Int("need", p.need).Int("level", p.level).Int("expected", p.expected).Int("supply", supply).
 			Int("lasting_cpu", p.report.Lasting.CPU).Int("running_cpu", p.report.Running.CPU).Int("waiting_cpu", p.report.Waiting.CPU).
 			Int("arrives_cpu", p.report.ArrivalLoad.CPU).Int("presses_cpu", p.report.Required.CPU).
-			Dur("age", m.Clock.Now().Sub(p.at)).Msg("what a pool needs or has is another")
+			Dur("age", m.Clock.Now().Sub(p.reportedAt)).Msg("a pool's need or supply has changed")
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.view.pools)) {
 		m.logLabels(name, m.view.pools[name])
 	}
 }
 
-// logLabels logs what a pool needs and has by label where that has changed.
+// logLabels logs how many instances a pool lacks by label when that has changed.
 func (m *Manager) logLabels(name string, p *poolState) {
 	lacks := make(map[string]int, len(p.report.Labels))
 	for label := range p.report.Labels {
 		lacks[label] = m.view.lackLabel(name, label)
 	}
-	if maps.Equal(lacks, p.lacked) {
+	if maps.Equal(lacks, p.loggedLacks) {
 		return
 	}
-	p.lacked = lacks
-	m.Logger.Info().Str("event", "capacity").Str("of", name).Interface("lacks", lacks).Msg("what a pool lacks by label is another")
+	p.loggedLacks = lacks
+	m.Logger.Info().Str("event", "capacity").Str("of", name).Interface("lacks", lacks).Msg("the instances that a pool lacks by label have changed")
 }
 
-// takeWaves takes the operators' waves, and keeps when each was seen first.
-func (m *Manager) takeWaves(ctx context.Context) error {
+// acceptWaves accepts the operators' waves and persists when each was first seen.
+func (m *Manager) acceptWaves(ctx context.Context) error {
 	for _, o := range m.Waves() {
 		at := slices.IndexFunc(m.view.waves, func(w *waveState) bool { return w.Number == o.Number })
 		if at >= 0 {
@@ -297,25 +296,26 @@
 		}
 		m.view.waves = append(m.view.waves, &waveState{Wave: o, seen: now, done: make(map[string]bool)})
 		m.Logger.Info().Str("event", "wave").Int("wave", o.Number).Int("instances", len(o.Instances)).Int("at_once", o.MaxConcurrent).
-			Dur("within", o.TimeLimit).Str("outcome", "begun").Msg("a wave of maintenance has come")
-		m.tell(ctx, o.Number, false)
+			Dur("within", o.TimeLimit).Str("outcome", "begun").Msg("maintenance wave accepted")
+		m.reportWave(ctx, o.Number, false)
 	}
 	return nil
 }
 
-// settle ends the actions that the list shows to have taken effect, and those
-// whose instance has changed otherwise.
+// settle removes the actions whose effect the list shows, and those whose instance has changed
+// otherwise.
 func (m *Manager) settle() {
 	for name, a := range m.view.actions {
 		i, there := m.view.instances[name]
 		switch {
 		case !there:
-		case a.over(i):
+		case a.finished(i):
 		case a.stage == settling && m.view.now.Sub(a.sent) > settleTime:
-		case a.stage == settling && !m.ended(a) && m.view.now.Sub(a.sent) > doneBefore:
+		case a.stage == settling && !m.ended(a) && m.view.now.Sub(a.sent) > noEffectAfter:
 		case a.stage == ordered && i.Condition == port.Up && i.Worker != a.worker && a.to == "":
-			// The order may have been carried out, or the instance has crashed. It is
-			// given again for the new life; a maintenance that is done is told as such.
+			// The order may have been carried out, or the instance has crashed. It is sent again
+			// for the new incarnation. A maintenance that was already done gets a response that
+			// reports it as done.
 			a.worker, a.from, a.stage = i.Worker, i.Pool, emptying
 			continue
 		case a.stage == ordered && i.Condition == port.Up && i.Worker != a.worker:
@@ -327,38 +327,38 @@
 	}
 }
 
-// reports asks the owners of all pools at once for their reports.
-func (m *Manager) reports(ctx context.Context, c *config.Config) {
+// collectReports requests the reports of all pools at once.
+func (m *Manager) collectReports(ctx context.Context, c *config.Config) {
 	var pools []string
 	for _, p := range c.Pools {
 		if !p.Headroom {
 			pools = append(pools, p.Name)
 		}
 	}
-	m.askAll(ctx, pools)
+	m.requestReports(ctx, pools)
 	select {
 	case m.reported <- struct{}{}:
 	default:
 	}
 }
 
-// askAll asks the owners of pools at once.
-func (m *Manager) askAll(ctx context.Context, pools []string) {
+// requestReports requests reports from the owners of pools at once.
+func (m *Manager) requestReports(ctx context.Context, pools []string) {
 	bounded, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	questions := make([]scheduler.CordonRequest, len(pools)) // all are made before an answer changes what is known
+	requests := make([]scheduler.CordonRequest, len(pools)) // all are built before a response changes the view
 	for i, pool := range pools {
-		questions[i] = m.cordons(pool)
+		requests[i] = m.cordons(pool)
 	}
-	var asks sync.WaitGroup
+	var group sync.WaitGroup
 	for i, pool := range pools {
-		asks.Go(func() { m.ask(bounded, pool, questions[i]) })
+		group.Go(func() { m.requestReport(bounded, pool, requests[i]) })
 	}
-	asks.Wait()
+	group.Wait()
 }
 
-// cordon has the workers of new actions cordoned at once, so that those that are
-// empty need not wait for the next plan.
+// cordon sends the cordons of new actions at once, so that empty workers need not wait for the next
+// plan.
 func (m *Manager) cordon(ctx context.Context, began []*action) {
 	var pools []string
 	for _, a := range began {
@@ -366,16 +366,16 @@
 			pools = append(pools, a.from)
 		}
 	}
-	m.askAll(ctx, pools)
+	m.requestReports(ctx, pools)
 }
 
-// ask takes the report of one pool.
-func (m *Manager) ask(ctx context.Context, pool string, asked scheduler.CordonRequest) {
-	r, err := m.RequestReport(ctx, pool, asked)
+// requestReport requests and applies the report of one pool.
+func (m *Manager) requestReport(ctx context.Context, pool string, cordons scheduler.CordonRequest) {
+	r, err := m.RequestReport(ctx, pool, cordons)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err != nil {
-		m.Logger.Debug().Str("event", "report").Str("pool", pool).Err(err).Msg("a pool's owner does not report")
+		m.Logger.Debug().Str("event", "report").Str("pool", pool).Err(err).Msg("no report from the pool's owner")
 		return
 	}
 	p := m.view.pools[pool]
@@ -383,45 +383,46 @@
 		p = &poolState{}
 		m.view.pools[pool] = p
 	}
-	p.report, p.at = r, m.Clock.Now()
-	m.lends.ApplyReport(pool, r.Quota, p.at)
+	p.report, p.reportedAt = r, m.Clock.Now()
+	m.lender.ApplyReport(pool, r.Quota, p.reportedAt)
 }
 
-// cordons returns what is asked of a pool: the workers that nothing may be placed
-// on, and those whose lives have been ended.
+// cordons returns the cordon request for a pool: the workers on which nothing may be placed, and
+// those whose incarnations have ended.
 func (m *Manager) cordons(pool string) scheduler.CordonRequest {
-	m.asked++
-	asked := scheduler.CordonRequest{Epoch: m.Epoch(), Number: m.asked}
+	m.requests++
+	request := scheduler.CordonRequest{Epoch: m.Epoch(), Number: m.requests}
 	for _, a := range m.view.actions {
 		switch {
 		case a.from != pool || a.worker == "":
 		case a.stage == settling && m.ended(a):
-			asked.Ended = append(asked.Ended, worker.Incarnation{ID: a.worker, StartedAt: a.born})
+			request.Ended = append(request.Ended, worker.Incarnation{ID: a.worker, StartedAt: a.startedAt})
 		default:
-			asked.Workers = append(asked.Workers, scheduler.CordonedWorker{ID: a.worker, MaintenanceRequired: a.to == ""})
+			request.Workers = append(request.Workers, scheduler.CordonedWorker{ID: a.worker, MaintenanceRequired: a.to == ""})
 		}
 	}
 	m.mu.Lock()
-	asked.Accounts = m.lends.WantedAccounts()
+	request.Accounts = m.lender.WantedAccounts()
 	m.mu.Unlock()
-	slices.SortFunc(asked.Workers, func(a, b scheduler.CordonedWorker) int { return cmp.Compare(a.ID, b.ID) })
-	return asked
+	slices.SortFunc(request.Workers, func(a, b scheduler.CordonedWorker) int { return cmp.Compare(a.ID, b.ID) })
+	return request
 }
 
-// tellWaves tells the operators of the waves that are done.
-func (m *Manager) tellWaves(ctx context.Context) error {
+// reportWaves reports completed waves to the operators.
+func (m *Manager) reportWaves(ctx context.Context) error {
 	for _, w := range m.view.waves {
-		if w.told || len(w.Instances) == 0 || len(w.left(m.view.instances)) > 0 {
+		if w.reported || len(w.Instances) == 0 || len(w.left(m.view.instances)) > 0 {
 			continue
 		}
-		w.told = m.tell(ctx, w.Number, true)
+		w.reported = m.reportWave(ctx, w.Number, true)
 	}
 	return nil
 }
 
-// tell tells the operators of a wave and returns whether that is kept.
-func (m *Manager) tell(ctx context.Context, number int, done bool) bool {
+// reportWave reports the state of a wave to the operators and returns whether the report is
+// persisted.
+func (m *Manager) reportWave(ctx context.Context, number int, done bool) bool {
 	err := m.ReportWave(ctx, number, done)
-	m.Logger.Info().Str("event", "wave").Int("wave", number).Bool("completed", done).AnErr("err", err).Msg("a wave's state is told")
+	m.Logger.Info().Str("event", "wave").Int("wave", number).Bool("completed", done).AnErr("err", err).Msg("state of a wave reported")
 	return err == nil
 }
--- a/services/fleet/need.go
+++ b/services/fleet/need.go
@@ -11,35 +11,35 @@
 	"github.com/yardbridge/yardbridge/services/scheduler"
 )
 
-// poolState is what is known of one pool.
+// poolState is the known state of one pool.
 type poolState struct {
-	report   scheduler.Report
-	at       time.Time // when it was told
-	rush     rush
-	expected int            // instances that a rush is expected to need that has begun, 0 for no more than it does
-	hard     int            // instances that what is there needs now
-	need     int            // the same and the spare ones
-	level    int            // the same, held for a while after a peak
-	peak     time.Time      // when it last needed as many
-	logged   [2]int         // need and supply, as logged last
-	lacked   map[string]int // instances lacked by label, as logged last
+	report      scheduler.Report
+	reportedAt  time.Time // when the report was received
+	surge       surge
+	expected    int            // instances that the current surge is expected to need, 0 for no expectation
+	hard        int            // instances needed for the current load
+	need        int            // hard plus spare instances
+	level       int            // the need, kept for a while after a peak
+	peak        time.Time      // when the need last reached the level
+	logged      [2]int         // need and supply in the last log message
+	loggedLacks map[string]int // instances lacked by label in the last log message
 }
 
-// The numbers of instances that are held for a pool.
+// Parameters of the number of instances that a pool needs.
 const (
-	spareShare   = 1.1                     // of the room that is in use or waited for
-	mostSpare    = 5.0                     // instances that a pool whose jobs can't wait has free
-	leastSpare   = 1.0                     // the same for one whose jobs can
-	hastySlack   = 1500 * time.Millisecond // of jobs that can't wait: an instance takes longer to come
-	patientSlack = 3 * time.Second         // of jobs that can
+	spareShare   = 1.1                     // multiple of the used or requested capacity
+	maxSpare     = 5.0                     // spare instances of a pool whose jobs can't wait
+	minSpare     = 1.0                     // spare instances of a pool whose jobs can wait
+	urgentSlack  = 1500 * time.Millisecond // slack of jobs that can't wait: an instance takes longer to arrive
+	patientSlack = 3 * time.Second         // slack of jobs that can wait
 	keepFrom     = 1                       // instances that a pool keeps beyond its need when others take from it
-	holdLevel    = 3 * time.Second         // after a peak; a move there and back takes as long
+	keepLevel    = 3 * time.Second         // after a peak; a move there and back takes as long
 )
 
-// needs returns how many instances of a size a pool needs for what is of use, those
-// with labels aside, and how many with the spare ones and for what is overdue, which
-// takes no instance from what can still be in time. What must be apart leaves most of
-// its instances free, which are as good as spare ones.
+// needs returns how many instances of a size a pool needs for work that can still complete in time,
+// excluding instances with labels, and how many it needs including spare instances and overdue
+// work. Overdue work takes no instance from work that can still be in time. Tasks that must run
+// apart leave most of their instances free, which serve as spare ones.
 func needs(r scheduler.Report, size job.Size) (hard, soft int) {
 	used := r.Lasting.Plus(r.Running.Max(r.ArrivalLoad)).Plus(r.Required)
 	share := shareOf(used, size) * spareShare
@@ -47,22 +47,22 @@
 	return max(int(math.Ceil(share)), r.MinWorkers), max(int(math.Ceil(share+more)), r.MinWorkers)
 }
 
-// spareFor returns how many instances a pool is to have free, so that a rush of
-// jobs with a slack finds room until more instances have come.
+// spareFor returns how many instances a pool needs to keep free, so that a surge of jobs with the
+// given slack finds capacity until more instances arrive.
 func spareFor(slack time.Duration) float64 {
 	if slack == 0 {
-		return mostSpare
+		return maxSpare
 	}
-	part := float64(patientSlack-slack) / float64(patientSlack-hastySlack)
-	return leastSpare + (mostSpare-leastSpare)*min(max(part, 0), 1)
+	part := float64(patientSlack-slack) / float64(patientSlack-urgentSlack)
+	return minSpare + (maxSpare-minSpare)*min(max(part, 0), 1)
 }
 
-// instances returns how many instances of a size room takes, with some to spare.
+// instances returns how many instances of a size the capacity takes, including a reserve.
 func instances(used, size job.Size) int {
 	return int(math.Ceil(shareOf(used, size) * spareShare))
 }
 
-// shareOf returns how many instances of a size room fills.
+// shareOf returns how many instances of a size the capacity fills.
 func shareOf(used, size job.Size) float64 {
 	share := 0.0
 	for _, d := range []struct{ used, size int }{
@@ -75,9 +75,9 @@
 	return share
 }
 
-// follow takes a need into the level of a pool that has so many instances. A holder that looks
-// for the first time does not know the last peak, and a pool that has changed its owner
-// with it does not know what arrives: what the pool has is held as after a peak.
+// follow updates the level of a pool, which has a number of instances, with a new need. On its
+// first plan a holder does not know the last peak, and a pool whose owner changed at the same time
+// does not know the arrival rate: the pool's instances are kept as after a peak.
 func (p *poolState) follow(hard, n, has int, now time.Time) {
 	p.hard, p.need = hard, n
 	if p.peak.IsZero() {
@@ -87,7 +87,7 @@
 		p.level, p.peak = n, now
 		return
 	}
-	if now.Sub(p.peak) > holdLevel {
+	if now.Sub(p.peak) > keepLevel {
 		p.level, p.peak = n, now
 	}
 }
--- a/services/fleet/order.go
+++ b/services/fleet/order.go
@@ -17,70 +17,70 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// intent is the record of an order that is about to be given.
+// intent is the record of an order that is about to be sent.
 type intent struct {
 	Instance string    `cbor:"1,keyasint"`
 	Worker   worker.ID `cbor:"2,keyasint"`
 	To       string    `cbor:"3,keyasint"`
 	Wave     int       `cbor:"4,keyasint"`
-	At       int64     `cbor:"5,keyasint"` // from which its time counts, in milliseconds since 1970
-	Known    bool      `cbor:"6,keyasint"` // its outcome is
+	At       int64     `cbor:"5,keyasint"` // start of its time limits, in milliseconds since 1970
+	Known    bool      `cbor:"6,keyasint"` // its outcome is known
 	From     string    `cbor:"7,keyasint"`
 	Born     int64     `cbor:"8,keyasint,omitempty"`
 }
 
-// ended reports whether the list shows that the life which an order was given for
-// is over. The answer does not tell: an order that was done before, when the
-// instance had another life, is answered as done too.
+// ended reports whether the list shows that the incarnation for which an order was sent has ended.
+// The response does not show it: an order that was already done in an earlier incarnation of the
+// instance also gets a response that reports it as done.
 func (m *Manager) ended(a *action) bool {
 	i, there := m.view.instances[a.instance]
 	return there && (i.Condition != port.Up || i.Worker != a.worker)
 }
 
-// fresh is how old a report may be that says that a worker is empty.
+// fresh is the maximum age of a report that shows a worker as empty.
 const fresh = period
 
-// granted reports whether an action's order may be given: its instance has no
-// worker, or its pool's owner has just said that the worker is empty.
-func (m *Manager) granted(a *action) bool {
+// mayOrder reports whether an action's order may be sent: its instance has no worker, or its pool's
+// owner has just reported the worker as empty.
+func (m *Manager) mayOrder(a *action) bool {
 	if a.worker == "" {
 		return true
 	}
 	p := m.view.pools[a.from]
-	if p == nil || m.Clock.Now().Sub(p.at) > fresh {
+	if p == nil || m.Clock.Now().Sub(p.reportedAt) > fresh {
 		return false
 	}
 	for _, w := range p.report.Workers {
 		if w.ID == a.worker {
-			a.born = w.StartedAt
+			a.startedAt = w.StartedAt
 			return w.Empty
 		}
 	}
 	return false
 }
 
-// wait returns how long the order to an instance must wait, since an earlier
-// holder has given it one.
+// wait returns how long the order to an instance must wait because an earlier holder has sent it
+// one.
 func (m *Manager) wait(name string) time.Duration {
-	i, has := m.past[name]
+	i, has := m.orders[name]
 	if !has {
 		return 0
 	}
-	least := m.Limits.HolderLease + clocks + intentAge
+	least := m.Limits.HolderLease + clockSkew + intentAge
 	if !i.Known {
 		least = max(least, unsettled)
 	}
 	return least - m.Clock.Now().Sub(m.Clock.FromWallTime(time.UnixMilli(i.At)))
 }
 
-// act gives the orders that may be given, after their intents are kept.
+// act sends the orders that may be sent, after their intents are persisted.
 func (m *Manager) act(ctx context.Context) error {
 	var due []*action
 	var records []port.Record
 	ahead := intentTimes * m.Journal.LastDuration()
 	for _, name := range slices.Sorted(maps.Keys(m.view.actions)) {
 		a := m.view.actions[name]
-		if a.stage == settling || !m.granted(a) || m.wait(name) > 0 {
+		if a.stage == settling || !m.mayOrder(a) || m.wait(name) > 0 {
 			continue
 		}
 		if i := m.view.instances[name]; i.Condition != port.Up {
@@ -102,33 +102,34 @@
 	}
 	if age := m.Clock.Now().Sub(written); age > intentAge+ahead {
 		m.Logger.Info().Str("event", "order").Int("instances", len(due)).Dur("age", age).Str("outcome", "put off").
-			Msg("intents took too long to be kept and are made anew")
+			Msg("intents took too long to be persisted and are written again")
 		return nil
 	}
 	var orders sync.WaitGroup
 	for _, a := range due {
 		a.stage, a.sent = ordered, m.Clock.Now()
-		orders.Go(func() { m.give(ctx, a) })
+		orders.Go(func() { m.sendOrder(ctx, a) })
 	}
 	orders.Wait()
-	return m.keepDone(ctx, due)
+	return m.persistDone(ctx, due)
 }
 
-// intentTimes is how many times as long as the last append an intent may take to be kept, beside
-// intentAge: on a slow store it waits for an append that is under way, and then for its own.
+// intentTimes is how many times the duration of the last append an intent may take to be persisted,
+// in addition to intentAge: on a slow store it waits for an append in progress and then for its
+// own.
 const intentTimes = 3
 
-// intent returns the record of an order that is given so much later than now at the most, and
-// within intentAge.
+// intent returns the record of an order that is sent within intentAge after the given time ahead of
+// now.
 func (m *Manager) intent(a *action, known bool, ahead time.Duration) (port.Record, error) {
 	value, err := codec.Marshal(intent{
-		Instance: a.instance, Worker: a.worker, To: a.to, Wave: a.wave, At: m.Clock.WallTime(m.Clock.Now().Add(ahead)).UnixMilli(), Known: known, From: a.from, Born: a.born,
+		Instance: a.instance, Worker: a.worker, To: a.to, Wave: a.wave, At: m.Clock.WallTime(m.Clock.Now().Add(ahead)).UnixMilli(), Known: known, From: a.from, Born: a.startedAt,
 	})
 	return port.Record{Key: keyIntent + a.instance, Value: value}, err
 }
 
-// give gives one order.
-func (m *Manager) give(ctx context.Context, a *action) {
+// sendOrder sends one order.
+func (m *Manager) sendOrder(ctx context.Context, a *action) {
 	permit := port.Issuer{Holder: m.Node, Token: m.Epoch()}
 	var err error
 	if a.to != "" {
@@ -138,32 +139,32 @@
 	}
 	m.Logger.Info().Str("event", "order").Str("instance", a.instance).Str("worker", string(a.worker)).Str("from", a.from).
 		Str("to", a.to).Int("wave", a.wave).Uint64("token", permit.Token).AnErr("err", err).
-		Dur("after", m.Clock.Now().Sub(a.began)).Msg("an order to an instance was answered")
+		Dur("after", m.Clock.Now().Sub(a.began)).Msg("response to an order to an instance received")
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
 	case err == nil:
 		a.stage = settling
 	case errkind.Is(err, errkind.OutcomeUnknown):
-		a.unknown = m.Clock.Now() // it is given again with the next plan; one that is done already is answered as done
+		a.unknown = m.Clock.Now() // the next plan sends it again; an order that is already done gets a response that reports it as done
 	case errkind.Is(err, errkind.Overloaded):
-		// It is given again with the next plan.
+		// The next plan sends it again.
 	case errkind.Is(err, errkind.NotFound):
 		if a.to != "" {
-			m.view.barred[bar{kind(m.view.instances[a.instance]), a.to}] = true
+			m.view.barred[barredMove{kind(m.view.instances[a.instance]), a.to}] = true
 		}
 		delete(m.view.actions, a.instance)
 		a.stage = emptying
 	case m.Clock.Now().Sub(a.unknown) < unsettled:
-		// This try was refused; an earlier one may be carried out yet.
+		// This attempt was refused; an earlier one may still be carried out.
 	default:
 		delete(m.view.actions, a.instance)
 		a.stage = emptying
 	}
 }
 
-// keepDone keeps which orders have been done, and what of waves.
-func (m *Manager) keepDone(ctx context.Context, due []*action) error {
+// persistDone persists which orders are done, and which instances of waves.
+func (m *Manager) persistDone(ctx context.Context, due []*action) error {
 	var records []port.Record
 	for _, a := range due {
 		if a.stage == ordered {
--- a/services/fleet/order_test.go
+++ b/services/fleet/order_test.go
@@ -21,11 +21,11 @@
 	"github.com/yardbridge/yardbridge/standin/world"
 )
 
-// TestARefusalAfterAnUnknownOrderDoesNotEndIt: the first try of an order to an instance
-// got no answer, so it may be carried out yet. The second is refused, which says only
-// that this try has done nothing: the instance's worker stays cordoned, and the place
-// in its wave stays taken, until it is known what became of the first.
-func TestARefusalAfterAnUnknownOrderDoesNotEndIt(t *testing.T) {
+// TestRefusalAfterUnknownOutcomeKeepsAction guards against an action that is dropped while its
+// order may still be carried out. The first attempt gets no response. The second is refused, which
+// only means that this attempt has done nothing: the instance's worker stays cordoned, and its slot
+// in the wave stays occupied, until the outcome of the first is known.
+func TestRefusalAfterUnknownOutcomeKeepsAction(t *testing.T) {
 	for _, refusal := range []errkind.Kind{errkind.LogUnavailable, errkind.Conflict} {
 		w := world.New(1)
 		m := &Manager{
@@ -37,7 +37,7 @@
 		m.Instances.Maintain = func(context.Context, port.Issuer, string, int) error {
 			tries++
 			if tries == 1 {
-				return errkind.New(errkind.OutcomeUnknown, "no answer")
+				return errkind.New(errkind.OutcomeUnknown, "no response")
 			}
 			return errkind.New(refusal, "not done")
 		}
@@ -47,16 +47,17 @@
 		assert.NilError(t, m.act(t.Context()))
 		assert.NilError(t, m.act(t.Context()))
 		assert.Equal(t, tries, 2)
-		assert.Assert(t, m.view.actions["i"] != nil, "%s: an order that may be carried out yet is forgotten", refusal)
+		assert.Assert(t, m.view.actions["i"] != nil, "%s: the action of an order that may still be carried out is removed", refusal)
 	}
 }
 
-// TestOrdersGoOutOnASlowStore: in a rush the store's answers take 70 times as long as usual, so
-// that an intent is kept after 0.6 s. Its order goes out all the same, and the next holder counts
-// from the latest moment at which it could have.
+// TestOrdersGoOutOnASlowStore guards against orders that are postponed forever. In a surge the
+// store takes 70 times as long as typical, so that an intent is persisted after 0.6 s. Its order
+// goes out all the same, and the next holder waits from the latest time at which it could have been
+// sent.
 func TestOrdersGoOutOnASlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const answer = 600 * time.Millisecond
+		const storeLatency = 600 * time.Millisecond
 		w := world.New(1)
 		ordered := time.Time{}
 		claim := func(node string) *Manager {
@@ -65,7 +66,7 @@
 				Logger:  log.Nop(), Limits: Limits{MaintenanceTime: time.Second, HolderLease: 3 * time.Second},
 				Instances: port.Instances{Move: func(context.Context, port.Issuer, string, string) error {
 					ordered = time.Now()
-					return errkind.New(errkind.OutcomeUnknown, "no answer")
+					return errkind.New(errkind.OutcomeUnknown, "no response")
 				}},
 			}
 			assert.NilError(t, m.Claim(t.Context(), node))
@@ -73,14 +74,14 @@
 		}
 		m := claim("n1")
 		m.view.instances = map[string]port.Instance{"i": {Name: "i", Pool: "off", Condition: port.Up}}
-		w.SetFaults("n1", func(f *world.Faults) { f.StoreLatency = answer })
-		for range 2 { // the first shows how slow the store is
+		w.SetFaults("n1", func(f *world.Faults) { f.StoreLatency = storeLatency })
+		for range 2 { // the first append shows how slow the store is
 			m.view.actions["i"] = &action{instance: "i", from: "off", to: "p", began: time.Now()}
 			assert.NilError(t, m.act(t.Context()))
 		}
-		assert.Assert(t, !ordered.IsZero(), "no order goes out")
+		assert.Assert(t, !ordered.IsZero(), "no order was sent")
 		next := claim("n2")
-		least := time.Until(ordered.Add(unsettled - answer))
+		least := time.Until(ordered.Add(unsettled - storeLatency))
 		assert.Assert(t, next.wait("i") >= least, "the next holder waits %s, not %s", next.wait("i"), least)
 	})
 }
--- a/services/fleet/plan.go
+++ b/services/fleet/plan.go
@@ -11,23 +11,23 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// view is what a plan is made from.
+// view is the input of a plan.
 type view struct {
-	now       time.Time
-	instances map[string]port.Instance
-	pools     map[string]*poolState
-	headroom  string // the pool whose instances are off, "" for none
-	waves     []*waveState
-	actions   map[string]*action // by instance
-	repair    time.Duration      // that a maintenance takes
-	barred    map[bar]bool       // moves that the platform does not make
-	tally     *tally             // of the plan that is being made, or of the newest
+	now             time.Time
+	instances       map[string]port.Instance
+	pools           map[string]*poolState
+	headroom        string // the pool whose instances are off, "" for none
+	waves           []*waveState
+	actions         map[string]*action  // by instance
+	maintenanceTime time.Duration       // duration of a maintenance
+	barred          map[barredMove]bool // moves that the platform rejects
+	counts          *counts             // of the current or the newest plan
 }
 
-// bar is a move that the platform does not make: of instances of a kind to a pool.
-type bar struct{ kind, pool string }
+// barredMove is a move that the platform rejects: instances of a kind to a pool.
+type barredMove struct{ kind, pool string }
 
-// kind returns the label of an instance's kind, which is its first one.
+// kind returns an instance's kind, which is its first label.
 func kind(i port.Instance) string {
 	if len(i.Labels) == 0 {
 		return ""
@@ -38,12 +38,12 @@
 // plan returns the actions to begin now.
 func (v *view) plan() []*action {
 	v.count()
-	size := v.usual()
+	size := v.smallest()
 	for name, p := range v.pools {
 		hard, soft := needs(p.report, size)
 		p.follow(hard, soft, v.supply(name), v.now)
-		comes := shareOf(p.report.ArrivalLoad, size)
-		p.rush.follow(float64(hard)-shareOf(p.report.Lasting, size)*spareShare, comes, p.report.Rising, v.now)
+		arrivals := shareOf(p.report.ArrivalLoad, size)
+		p.surge.follow(float64(hard)-shareOf(p.report.Lasting, size)*spareShare, arrivals, p.report.Rising, v.now)
 	}
 	v.expect()
 	began := v.maintain()
@@ -55,7 +55,7 @@
 	return &action{instance: i.Name, worker: i.Worker, from: i.Pool, to: to, wave: number, began: v.now}
 }
 
-// level returns how many instances a pool needs.
+// level returns how many instances a pool is to have.
 func (v *view) level(pool string) int {
 	if p := v.pools[pool]; p != nil {
 		return max(p.level, p.expected)
@@ -63,13 +63,13 @@
 	return 0
 }
 
-// move begins moves of instances to pools that need them and, where none does,
-// to the pool whose instances are off.
+// move begins moves of instances to the pools that need them. Instances that no pool needs move to
+// the pool whose instances are off.
 func (v *view) move() []*action {
 	var began []*action
 	began = append(began, v.fillLabels()...)
 	began = append(began, v.fill((*poolState).hardNeed)...)
-	began = append(began, v.even()...)
+	began = append(began, v.balance()...)
 	began = append(began, v.fill((*poolState).softNeed)...)
 	if v.headroom == "" {
 		return began
@@ -79,19 +79,19 @@
 			if v.supply(pool) <= v.level(pool)+v.swaps(pool) {
 				break
 			}
-			if !v.spared(pool, i) {
+			if !v.canSpare(pool, i) {
 				continue
 			}
 			a := v.begin(i, v.headroom, 0)
-			v.take(a)
+			v.add(a)
 			began = append(began, a)
 		}
 	}
 	return began
 }
 
-// fill begins moves to the pools that lack instances by a need, from the pool
-// whose instances are off and from those that have more than that need.
+// fill begins moves to the pools that lack instances by the given need, from the pool whose
+// instances are off and from pools with more than that need.
 func (v *view) fill(need func(*poolState) int) []*action {
 	var began []*action
 	for {
@@ -104,13 +104,12 @@
 			return began
 		}
 		a := v.begin(i, pool, 0)
-		v.take(a)
+		v.add(a)
 		began = append(began, a)
 	}
 }
 
-// fillLabels begins moves of instances with labels to the pools whose tasks need
-// them.
+// fillLabels begins moves of instances with labels to the pools whose tasks require the labels.
 func (v *view) fillLabels() []*action {
 	var began []*action
 	for pool, p := range v.pools {
@@ -121,7 +120,7 @@
 					break
 				}
 				a := v.begin(i, pool, 0)
-				v.take(a)
+				v.add(a)
 				began = append(began, a)
 			}
 		}
@@ -135,15 +134,15 @@
 	if p == nil {
 		return 0
 	}
-	room, needed := p.report.Labels[label]
+	capacity, needed := p.report.Labels[label]
 	if !needed {
 		return 0
 	}
-	return max(instances(room, v.usual()), 1) - v.supplyOf(pool, func(i port.Instance) bool { return has(i, label) })
+	return max(instances(capacity, v.smallest()), 1) - v.supplyOf(pool, func(i port.Instance) bool { return has(i, label) })
 }
 
-// spared reports whether a pool can do without an instance as far as labels go.
-func (v *view) spared(pool string, i port.Instance) bool {
+// canSpare reports whether a pool can spare an instance with regard to its labels.
+func (v *view) canSpare(pool string, i port.Instance) bool {
 	for _, label := range i.Labels {
 		if p := v.pools[pool]; p != nil {
 			if _, needed := p.report.Labels[label]; needed && v.lackLabel(pool, label) >= 0 {
@@ -166,15 +165,15 @@
 	return best, most
 }
 
-// has reports whether an instance carries a label.
+// has reports whether an instance has a label.
 func has(i port.Instance, label string) bool { return slices.Contains(i.Labels, label) }
 
-// donor returns the instance that a pool is to get, with a label unless that is
-// "": one that is off, else one that another pool does not need now.
+// donor returns the instance to move to a pool, with a label unless that is "": an instance that is
+// off, otherwise one that another pool does not need now.
 func (v *view) donor(pool, label string, need func(*poolState) int) (port.Instance, bool) {
 	var best port.Instance
 	found := false
-	for _, i := range v.tally.free[v.headroom] {
+	for _, i := range v.counts.free[v.headroom] {
 		if v.headroom == "" || !v.allowed(i, pool) || label != "" && !has(i, label) {
 			continue
 		}
@@ -192,8 +191,8 @@
 			from, most = other, more
 		}
 	}
-	for _, i := range v.tally.free[from] {
-		if v.allowed(i, pool) && v.spared(from, i) && (label == "" || has(i, label)) {
+	for _, i := range v.counts.free[from] {
+		if v.allowed(i, pool) && v.canSpare(from, i) && (label == "" || has(i, label)) {
 			return i, true
 		}
 	}
@@ -201,10 +200,12 @@
 }
 
 // allowed reports whether an instance may be moved to a pool, as far as is known.
-func (v *view) allowed(i port.Instance, pool string) bool { return !v.barred[bar{kind(i), pool}] }
+func (v *view) allowed(i port.Instance, pool string) bool {
+	return !v.barred[barredMove{kind(i), pool}]
+}
 
-// better reports whether one instance suits a pool better than another: first
-// one that is in no wave's way, then one in a rack with fewer of the pool.
+// better reports whether one instance suits a pool better than another: first an instance without
+// pending wave maintenance, then one in a rack with fewer instances of the pool.
 func (v *view) better(pool string, a, b port.Instance) bool {
 	if x, y := v.due(a.Name), v.due(b.Name); x != y {
 		return !x
--- a/services/fleet/plan_test.go
+++ b/services/fleet/plan_test.go
@@ -19,8 +19,8 @@
 	"github.com/yardbridge/yardbridge/services/scheduler"
 )
 
-// The fleet of the tests of plans: four pools and one whose instances are off, and a
-// wave that asks for half of all instances.
+// The fleet of the plan tests: four pools, one pool whose instances are off, and a wave over half
+// of all instances.
 const (
 	fleetInstances = 540
 	fleetRacks     = 68
@@ -29,12 +29,12 @@
 
 var fleetSize = job.Size{CPU: 16000, MemoryMB: 65536}
 
-// fleetView returns a fleet of which all but a few instances of each pool are off, or
-// spread at random, before a rush that needs a number of instances in the first pool.
-func fleetView(r *rand.Rand, spread bool, rush int) *view {
+// fleetView returns a fleet before a surge that needs a number of instances in the first pool. All
+// but a few instances of each pool are off, or are spread at random.
+func fleetView(r *rand.Rand, spread bool, surge int) *view {
 	v := &view{
 		now: time.Unix(1000, 0), instances: make(map[string]port.Instance), pools: make(map[string]*poolState), headroom: "off",
-		actions: make(map[string]*action), barred: make(map[bar]bool), repair: 2 * time.Second,
+		actions: make(map[string]*action), barred: make(map[barredMove]bool), maintenanceTime: 2 * time.Second,
 	}
 	for p := range fleetPools {
 		v.pools[fmt.Sprint("p", p)] = &poolState{}
@@ -53,14 +53,14 @@
 		}
 		v.instances[i.Name] = i
 	}
-	v.pools["p0"].report.Required = fleetSize.Times(rush)
+	v.pools["p0"].report.Required = fleetSize.Times(surge)
 	v.waves = []*waveState{{Wave: w, seen: v.now, done: make(map[string]bool)}}
 	return v
 }
 
-// BenchmarkPlanOfARush plans for a rush that needs 300 instances more: each millisecond
-// is one in which none of them is on its way.
-func BenchmarkPlanOfARush(b *testing.B) {
+// BenchmarkPlanOfASurge plans for a surge that needs 300 more instances. No instance moves until
+// the plan is complete, so each millisecond delays the surge.
+func BenchmarkPlanOfASurge(b *testing.B) {
 	r := rand.New(rand.NewPCG(1, 1))
 	for b.Loop() {
 		b.StopTimer()
@@ -70,10 +70,10 @@
 	}
 }
 
-// TestPlanOfARushIsQuick plans for a rush that needs 300 instances more while a wave
-// asks for half of the fleet, within a tenth of the time from one plan to the next on a
-// whole core; counting all instances anew for each move took a second.
-func TestPlanOfARushIsQuick(t *testing.T) {
+// TestPlanOfASurgeIsQuick guards against slow plans: it plans for a surge that needs 300 more
+// instances while a wave covers half of the fleet. A plan takes less than a tenth of the planning
+// period on a whole core; counting all instances again for each move took a second.
+func TestPlanOfASurgeIsQuick(t *testing.T) {
 	v := fleetView(rand.New(rand.NewPCG(1, 1)), false, 300)
 	began := time.Now()
 	list := v.plan()
@@ -85,16 +85,17 @@
 		}
 	}
 	assert.Assert(t, moves >= 300, "%d moves", moves)
-	assert.Assert(t, took < planMost, "%s", took)
+	assert.Assert(t, took < maxPlanTime, "%s", took)
 }
 
-// planMost is far above the few milliseconds that a plan takes, also beside other tests
-// and with the race detector.
-const planMost = 300 * time.Millisecond
+// maxPlanTime is far above the few milliseconds that a plan takes, including runs beside other
+// tests and with the race detector.
+const maxPlanTime = 300 * time.Millisecond
 
-// TestWaveGivesWayInARush: instances that are off go to a pool that lacks them before
-// they are maintained, as long as the wave has time left, and are maintained then.
-func TestWaveGivesWayInARush(t *testing.T) {
+// TestWaveGivesWayInASurge guards against maintenance that takes instances from a surge: while the
+// wave has time left, instances that are off first move to the pool that lacks them and are
+// maintained afterwards.
+func TestWaveGivesWayInASurge(t *testing.T) {
 	v := fleetView(rand.New(rand.NewPCG(1, 1)), false, 500)
 	moved, maintained := 0, 0
 	for _, a := range v.plan() {
@@ -112,10 +113,11 @@
 	assert.Equal(t, maintained, v.waves[0].MaxConcurrent)
 }
 
-// TestANewHolderHoldsWhatPoolsHave: in a rush the holder of the duty and the rushing pool's owner
-// are cut off, and others take over. What the new owner tells first says little of the rush, since it
-// has seen no job come and no worker answer: no instance is let go for three seconds.
-func TestANewHolderHoldsWhatPoolsHave(t *testing.T) {
+// TestNewHolderKeepsPoolInstances guards against the loss of instances on a failover. In a surge
+// the holder of the role and the pool's owner are cut off, and other nodes take over. The new
+// owner's first reports show little of the surge, because it has seen no job arrive and no worker
+// respond: no instance is removed for three seconds.
+func TestNewHolderKeepsPoolInstances(t *testing.T) {
 	v := fleetView(rand.New(rand.NewPCG(1, 1)), true, 20)
 	v.waves = nil
 	off := func() int {
@@ -126,15 +128,15 @@
 		return n
 	}
 	assert.Equal(t, off(), 0)
-	v.now = v.now.Add(holdLevel / 2)
+	v.now = v.now.Add(keepLevel / 2)
 	assert.Equal(t, off(), 0)
-	v.now = v.now.Add(holdLevel)
-	assert.Assert(t, off() > 100, "what is not needed is let go then")
+	v.now = v.now.Add(keepLevel)
+	assert.Assert(t, off() > 100, "instances that are not needed are kept too long")
 }
 
-// TestShortageIsShared: two rushes want more than the whole fleet; the pool whose rush
-// came first gives up instances, a part at a time, until both are served alike, and what
-// is overdue counts for nothing beside what can be in time.
+// TestShortageIsShared guards against an unfair distribution: two surges need more than the whole
+// fleet. The pool of the first surge gives up instances, a fraction at a time, until both are
+// served equally. Overdue work counts for nothing beside work that can complete in time.
 func TestShortageIsShared(t *testing.T) {
 	v := fleetView(rand.New(rand.NewPCG(1, 1)), false, 900)
 	v.waves = nil
@@ -159,44 +161,44 @@
 	assert.Assert(t, first > 400, "%d instances", first)
 	v.pools["p1"].report.Required = fleetSize.Times(900)
 	v.plan()
-	assert.Assert(t, v.supply("p0") >= first*3/4, "%d of %d are left at once", v.supply("p0"), first)
+	assert.Assert(t, v.supply("p0") >= first*3/4, "%d of %d remain at once", v.supply("p0"), first)
 	for range 20 {
 		settle()
 		v.plan()
 	}
 	a, b := v.supply("p0"), v.supply("p1")
-	assert.Assert(t, float64(a) <= evenMargin*float64(b)+evenMargin && b <= a+1, "%d and %d", a, b)
+	assert.Assert(t, float64(a) <= balanceMargin*float64(b)+balanceMargin && b <= a+1, "%d and %d", a, b)
 	v.pools["p0"].report.Required, v.pools["p0"].report.Overdue = job.Size{}, fleetSize.Times(900)
 	for range 20 {
 		settle()
 		v.plan()
 	}
-	assert.Assert(t, v.supply("p0") < 20, "%d instances for what is overdue", v.supply("p0"))
+	assert.Assert(t, v.supply("p0") < 20, "%d instances for overdue work", v.supply("p0"))
 	v.pools["p1"].report.Required = job.Size{}
-	v.now = v.now.Add(2 * holdLevel)
+	v.now = v.now.Add(2 * keepLevel)
 	for range 20 {
 		settle()
 		v.plan()
-		v.now = v.now.Add(2 * holdLevel)
+		v.now = v.now.Add(2 * keepLevel)
 	}
-	assert.Assert(t, v.supply("p0") > 400, "%d instances for what is owed its end", v.supply("p0"))
+	assert.Assert(t, v.supply("p0") > 400, "%d instances for overdue work without competing demand", v.supply("p0"))
 }
 
-// TestTallyFollowsThePlan: what was counted once and changed with each action is what
-// counting at the end gives.
-func TestTallyFollowsThePlan(t *testing.T) {
+// TestCountsFollowThePlan guards against counts that drift: the counts that each action updates
+// equal a new count at the end.
+func TestCountsFollowThePlan(t *testing.T) {
 	for seed := range uint64(50) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		v := fleetView(r, true, r.IntN(200))
 		v.plan()
-		kept := v.tally
+		updated := v.counts
 		v.count()
 		for _, pool := range []string{"off", "p0", "p1", "p2", "p3"} {
-			assert.Equal(t, kept.supply[pool], v.tally.supply[pool], "seed %d, %s", seed, pool)
-			assert.DeepEqual(t, names(kept.free[pool]), names(v.tally.free[pool]))
+			assert.Equal(t, updated.supply[pool], v.counts.supply[pool], "seed %d, %s", seed, pool)
+			assert.DeepEqual(t, names(updated.free[pool]), names(v.counts.free[pool]))
 		}
-		for at, n := range v.tally.racks {
-			assert.Equal(t, kept.racks[at], n, "seed %d, %v", seed, at)
+		for at, n := range v.counts.racks {
+			assert.Equal(t, updated.racks[at], n, "seed %d, %v", seed, at)
 		}
 	}
 }
--- a/services/fleet/rush_test.go
+++ b/services/fleet/surge_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// climb is what a pool needs in a rush, by the time since it began, in instances: demand that
-// goes up to a hundred times of what came before, as it is learned from the jobs that come.
+// climb is the need of a pool in a surge, in instances, by the time since its beginning: demand
+// rises to a hundred times the previous load, as it is learned from the arriving jobs.
 var climb = []struct {
 	after time.Duration
 	need  float64
@@ -22,8 +22,8 @@
 	{5 * time.Second, 300, false}, {8 * time.Second, 280, false}, {9 * time.Second, 60, false}, {10 * time.Second, 4, false}, {11 * time.Second, 3, false},
 }
 
-// calmDown lets a pool need little for a while.
-func (r *rush) calmDown(now time.Time) time.Time {
+// calmDown simulates a period of little need.
+func (r *surge) calmDown(now time.Time) time.Time {
 	for range 100 {
 		now = now.Add(120 * time.Millisecond)
 		r.follow(3, 3, false, now)
@@ -31,33 +31,34 @@
 	return now
 }
 
-// rushOnce plays a rush and returns when it is over.
-func (r *rush) rushOnce(now time.Time) time.Time {
+// surgeOnce simulates one surge and returns when it is finished.
+func (r *surge) surgeOnce(now time.Time) time.Time {
 	for _, c := range climb {
 		r.follow(c.need, min(c.need, 250), c.rises, now.Add(c.after))
 	}
 	return now.Add(climb[len(climb)-1].after)
 }
 
-// TestSecondRushIsExpected: a pool whose rush has needed 303 instances is expected to need as
-// many 0.2 s after the next one has begun, and not 3 s later.
-func TestSecondRushIsExpected(t *testing.T) {
-	var r rush
-	now := r.rushOnce(r.calmDown(time.Unix(1000, 0)))
+// TestSecondSurgeIsExpected guards against a slow reaction to recurring demand: a pool whose surge
+// needed 303 instances is expected to need as many 0.2 s after the next surge begins, and no longer
+// 3 s later.
+func TestSecondSurgeIsExpected(t *testing.T) {
+	var r surge
+	now := r.surgeOnce(r.calmDown(time.Unix(1000, 0)))
 	assert.Equal(t, r.last, 303.0)
 	now = r.calmDown(now)
 	assert.Equal(t, r.expects(0, 0, now), 0.0)
 	r.follow(28, 28, true, now)
 	assert.Equal(t, r.expects(0, 0, now), 303.0)
-	assert.Equal(t, r.expects(0, 0, now.Add(expectFor+time.Millisecond)), 0.0, "a rush that does not come is given back")
+	assert.Equal(t, r.expects(0, 0, now.Add(expectFor+time.Millisecond)), 0.0, "the expected need remains although the surge does not arrive")
 }
 
-// TestFirstRushIsExpectedAsTheOthersWere: a pool that has had no rush is expected to climb as
-// the rushes of the others have, but not higher.
-func TestFirstRushIsExpectedAsTheOthersWere(t *testing.T) {
-	v := &view{now: time.Unix(1000, 0), pools: map[string]*poolState{"a": {}, "b": {}, "c": {}}, tally: &tally{}}
-	a, b := &v.pools["a"].rush, &v.pools["b"].rush
-	now := a.rushOnce(a.calmDown(v.now))
+// TestFirstSurgeIsExpectedLikeTheOthers guards against a slow reaction to a first surge: a pool
+// without an earlier surge is expected to climb like the surges of the others, but not higher.
+func TestFirstSurgeIsExpectedLikeTheOthers(t *testing.T) {
+	v := &view{now: time.Unix(1000, 0), pools: map[string]*poolState{"a": {}, "b": {}, "c": {}}, counts: &counts{}}
+	a, b := &v.pools["a"].surge, &v.pools["b"].surge
+	now := a.surgeOnce(a.calmDown(v.now))
 	b.calmDown(now)
 	b.follow(20, 20, true, now)
 	v.now = now
@@ -67,9 +68,10 @@
 	assert.Equal(t, v.pools["c"].expected, 0)
 }
 
-// TestSmallRiseIsNoRush: a need that doubles for a moment tells nothing of rushes.
-func TestSmallRiseIsNoRush(t *testing.T) {
-	var r rush
+// TestSmallRiseIsNoSurge guards against false surges: a need that doubles for a moment is not a
+// surge.
+func TestSmallRiseIsNoSurge(t *testing.T) {
+	var r surge
 	now := r.calmDown(time.Unix(1000, 0))
 	r.follow(5, 5, true, now)
 	r.follow(5, 4, false, now.Add(time.Second))
--- a/services/fleet/wave.go
+++ b/services/fleet/wave.go
@@ -12,16 +12,15 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// waveState is a wave and how far it is.
+// waveState is a wave and its progress.
 type waveState struct {
 	wave.Wave
-	seen time.Time
-	done map[string]bool // instances that have begun their maintenance
-	told bool            // that it is completed
+	seen     time.Time
+	done     map[string]bool // instances whose maintenance has begun
+	reported bool            // its completion has been reported
 }
 
-// left returns the instances of a wave that are there and have not begun their
-// maintenance.
+// left returns the instances of a wave that exist and whose maintenance has not begun.
 func (w *waveState) left(instances map[string]port.Instance) []string {
 	var names []string
 	for _, n := range w.Instances {
@@ -32,16 +31,15 @@
 	return names
 }
 
-// The times that a wave is paced by.
+// Time estimates for the progress of a wave.
 const (
-	emptyTime = 4 * time.Second // that emptying a worker takes at most as a rule
-	offTime   = 2 * time.Second // until an instance that is off and was maintained is listed as such, and another is begun
-	waveSlack = 3 * time.Second // that a wave is to be done early
+	emptyTime = 4 * time.Second // typical maximum for emptying a worker
+	offTime   = 2 * time.Second // until a maintained instance that is off is listed as such, and another one begins
+	waveSlack = 3 * time.Second // how much earlier than required a wave is to be done
 )
 
-// maintain begins the maintenance of instances of waves: first of those that
-// are off, then of those that their pool can spare, and where the time runs
-// short of any.
+// maintain begins maintenance for the instances of waves: first those that are off, then those that
+// their pool can spare, and any instance if the time is short.
 func (v *view) maintain() []*action {
 	var began []*action
 	for _, w := range v.waves {
@@ -65,7 +63,7 @@
 					break
 				}
 				a := v.begin(i, "", w.Number)
-				v.take(a)
+				v.add(a)
 				began = append(began, a)
 				slots--
 				spare--
@@ -75,7 +73,7 @@
 	return began
 }
 
-// poolsOf returns the pools of instances, the one that is off first.
+// poolsOf returns the pools of instances, the pool whose instances are off first.
 func (v *view) poolsOf(names []string) []string {
 	var pools []string
 	for _, n := range names {
@@ -94,7 +92,7 @@
 	return 0
 }
 
-// slots returns how many more instances of a wave may be emptied or down.
+// slots returns how many more instances of a wave may be emptied or down at once.
 func (v *view) slots(w *waveState) int {
 	if w.MaxConcurrent <= 0 {
 		return len(w.Instances)
@@ -109,17 +107,17 @@
 	return slots
 }
 
-// spare returns how many instances no pool needs. In a rush there are none and a wave
-// gives way: an instance that is maintained comes two seconds later.
+// spare returns how many instances no pool needs. In a surge there are none and a wave gives way: a
+// maintained instance arrives two seconds later.
 func (v *view) spare() int {
-	spare := len(v.tally.free[v.headroom])
+	spare := len(v.counts.free[v.headroom])
 	for pool, p := range v.pools {
 		spare += v.supply(pool) - p.need
 	}
 	return spare
 }
 
-// short reports whether a wave must go on though pools need its instances.
+// short reports whether a wave must continue although pools need its instances.
 func (v *view) short(w *waveState, left []string) bool {
 	off := 0
 	for _, name := range left {
@@ -127,12 +125,11 @@
 			off++
 		}
 	}
-	takes := w.rounds(off)*(v.repair+offTime) + w.rounds(len(left)-off)*(v.repair+emptyTime) + waveSlack
+	takes := w.rounds(off)*(v.maintenanceTime+offTime) + w.rounds(len(left)-off)*(v.maintenanceTime+emptyTime) + waveSlack
 	return v.now.Sub(w.seen)+takes > w.TimeLimit
 }
 
-// rounds returns how many times as many instances as may be maintained at once are
-// needed for a number of them.
+// rounds returns how many rounds of MaxConcurrent instances are needed for a number of instances.
 func (w *waveState) rounds(n int) time.Duration {
 	if w.MaxConcurrent <= 0 {
 		return time.Duration(btoi(n > 0))
