--- a/services/ownership/doc.go
+++ b/services/ownership/doc.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package ownership sees to it that every pool has an owner, and that this node
-// owns its share of them.
+// Package ownership ensures that every pool has an owner and that this node owns its share of the
+// pools.
 package ownership
--- a/services/ownership/hand_over.go
+++ b/services/ownership/hand_over.go
@@ -13,127 +13,128 @@
 	"github.com/yardbridge/yardbridge/services/directory"
 )
 
-// relieveAfter is how long an append may be under way before another node is
-// asked to take over: the store may turn away this node and serve the others. It
-// answers in 4 ms, and 60 times as long on its slow days.
+// relieveAfter is how long an append may be in progress before another node is asked to take over:
+// the store may refuse this node and serve the others. It usually responds in 4 ms, and takes up to
+// 60 times as long when it is slow.
 const relieveAfter = 700 * time.Millisecond
 
-// relieve gives the duties whose appends the store does not answer to other nodes, each
-// once, and all at once: what their owner can't keep, it refuses.
-func (s *Manager) relieve(ctx context.Context, v *directory.View) {
+// relieveStuck hands over the roles whose appends get no response from the store, each once and all
+// at the same time: their owner rejects what it can't persist.
+func (s *Manager) relieveStuck(ctx context.Context, v *directory.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var stuck []string
-	for _, duty := range slices.Sorted(maps.Keys(s.owned)) {
-		if t := s.owned[duty]; !t.giving && t.Stuck(relieveAfter) {
-			t.giving = true
-			stuck = append(stuck, duty)
+	for _, role := range slices.Sorted(maps.Keys(s.owned)) {
+		if t := s.owned[role]; !t.handingOver && t.Stuck(relieveAfter) {
+			t.handingOver = true
+			stuck = append(stuck, role)
 		}
 	}
 	if len(stuck) > 0 {
 		s.tasks.Add(1)
-		go relief{s, v, stuck}.run(ctx)
+		go reliefTask{s, v, stuck}.run(ctx)
 	}
 }
 
-// relief is one wish that other nodes take duties over.
-type relief struct {
-	s      *Manager
-	v      *directory.View
-	duties []string
+// reliefTask hands over stuck roles.
+type reliefTask struct {
+	s     *Manager
+	v     *directory.View
+	roles []string
 }
 
-// run asks the other nodes.
-func (r relief) run(ctx context.Context) {
+// run hands over the roles.
+func (r reliefTask) run(ctx context.Context) {
 	defer r.s.tasks.Done()
-	r.s.giveAway(ctx, r.v, r.duties)
+	r.s.handOverAll(ctx, r.v, r.roles)
 }
 
-// kept notes that no other node has taken a duty over, so that another may be asked.
-func (s *Manager) kept(duty string) {
+// clearHandingOver records that no other node has taken a role over, so that the hand-over can be
+// tried again.
+func (s *Manager) clearHandingOver(role string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t := s.owned[duty]; t != nil {
-		t.giving = false
+	if t := s.owned[role]; t != nil {
+		t.handingOver = false
 	}
 }
 
-// HandOver gives every pool of this node to another, and claims none any more.
+// HandOver hands every pool of this node over to other nodes and stops claiming pools.
 func (s *Manager) HandOver(ctx context.Context) {
 	s.mu.Lock()
 	s.leaving = true
 	s.mu.Unlock()
 	if v, _ := s.Directory.View(); v != nil {
-		s.giveAway(ctx, v, s.Owned())
+		s.handOverAll(ctx, v, s.Owned())
 	}
 }
 
-// giveAway asks other nodes to take duties over.
-func (s *Manager) giveAway(ctx context.Context, v *directory.View, pools []string) {
-	rest := *v
-	rest.Nodes = make(map[string]directory.Node, len(v.Nodes))
+// handOverAll hands roles over to other nodes.
+func (s *Manager) handOverAll(ctx context.Context, v *directory.View, pools []string) {
+	others := *v
+	others.Nodes = make(map[string]directory.Node, len(v.Nodes))
 	for name, n := range v.Nodes {
 		if name != s.Directory.Self.Name {
-			rest.Nodes[name] = n
+			others.Nodes[name] = n
 		}
 	}
-	heirs := inherit(&rest, pools)
-	var gifts sync.WaitGroup
+	successors := rankSuccessors(&others, pools)
+	var group sync.WaitGroup
 	for _, pool := range pools {
-		gifts.Go(func() {
-			if !s.give(ctx, &rest, pool, heirs[pool]) {
-				s.kept(pool)
+		group.Go(func() {
+			if !s.handOver(ctx, &others, pool, successors[pool]) {
+				s.clearHandingOver(pool)
 			}
 		})
 	}
-	gifts.Wait()
+	group.Wait()
 }
 
-// settled reports whether a duty is not owned here any more, or goes on.
-func (s *Manager) settled(duty string) bool {
+// resolved reports whether a role is no longer owned here or its appends succeed again.
+func (s *Manager) resolved(role string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.owned[duty]
+	t := s.owned[role]
 	return t == nil || !s.leaving && !t.Stuck(relieveAfter)
 }
 
-// giveTimeout bounds the wish that one node takes a pool over.
-const giveTimeout = time.Second
+// takeOverTimeout bounds the request to one node to take a pool over.
+const takeOverTimeout = time.Second
 
-// give asks the nodes that the store answers, the best first, to take a pool over, and reports
-// whether one has. Where none of those that are asked at once is answered, the store is away for
-// all, and whichever node is asked when it comes back would get the pool: the best are asked
-// again as long as the store does not answer.
-func (s *Manager) give(ctx context.Context, v *directory.View, pool string, heirs []string) bool {
-	for len(heirs) > 0 {
-		n := min(len(heirs), offersAtOnce)
-		able := s.able(ctx, v, heirs[:n])
-		if s.giveTo(ctx, v, pool, able) {
+// handOver asks the nodes that the store serves, the best first, to take a pool over, and reports
+// whether one has. If none of the nodes probed together gets a response, the store is down for all
+// of them, and whichever node is probed when it recovers would get the pool. So the best nodes are
+// probed again as long as the store does not respond.
+func (s *Manager) handOver(ctx context.Context, v *directory.View, pool string, successors []string) bool {
+	for len(successors) > 0 {
+		n := min(len(successors), probesAtOnce)
+		able := s.able(ctx, v, successors[:n])
+		if s.handOverTo(ctx, v, pool, able) {
 			return true
 		}
-		if len(able) == 0 || ctx.Err() != nil || s.settled(pool) {
+		if len(able) == 0 || ctx.Err() != nil || s.resolved(pool) {
 			return false
 		}
-		heirs = heirs[n:]
+		successors = successors[n:]
 	}
 	return false
 }
 
-// giveTo asks nodes that the store answers, one after the other, to take a pool over.
-func (s *Manager) giveTo(ctx context.Context, v *directory.View, pool string, able []string) bool {
+// handOverTo asks nodes that the store serves, one after the other, to take a pool over.
+func (s *Manager) handOverTo(ctx context.Context, v *directory.View, pool string, able []string) bool {
 	for _, name := range able {
-		bounded, cancel := context.WithTimeout(ctx, giveTimeout)
+		bounded, cancel := context.WithTimeout(ctx, takeOverTimeout)
 		o, err := s.RequestTakeOver(bounded, v.Nodes[name], pool)
 		cancel()
 		if err == nil {
 			s.Directory.Observe(o)
 		}
-		s.Logger.Info().Str("event", "hand-over").Str("pool", pool).Str("to", name).AnErr("err", err).Msg("a pool is handed over")
+		s.Logger.Info().Str("event", "hand-over").Str("pool", pool).Str("to", name).AnErr("err", err).Msg("pool hand-over attempted")
 		if err == nil {
 			return true
 		}
 		s.setUnable(name)
-		if ctx.Err() != nil || s.settled(pool) {
+		if ctx.Err() != nil || s.resolved(pool) {
 			return false
 		}
 	}
--- /dev/null
+++ b/services/ownership/manager.go
@@ -0,0 +1,206 @@
+// Copyright 2026 The yardbridge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package ownership
+
+import (
+	"cmp"
+	"context"
+	"maps"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/yardbridge/yardbridge/models/config"
+	"github.com/yardbridge/yardbridge/modules/clock"
+	"github.com/yardbridge/yardbridge/modules/log"
+	"github.com/yardbridge/yardbridge/modules/rendezvous"
+	"github.com/yardbridge/yardbridge/services/directory"
+)
+
+// RoleRunner runs a role while this node owns it.
+type RoleRunner struct {
+	Claim func(ctx context.Context, node string) error // makes this node the owner
+	Run   func(ctx context.Context) error              // runs until this node is no longer the owner
+	Stuck func(least time.Duration) bool               // whether an append has been in progress for this long, or longer if the store is slow
+	Epoch func() uint64
+	Done  func() <-chan struct{} // closed once this node is no longer the owner
+
+	cancel      context.CancelFunc // ends Run
+	handingOver bool               // another node is being asked to take the role over, or has taken it over
+	claimedAt   time.Time          // when it was claimed
+}
+
+// Manager claims pools that have no owner. Its exported fields are set before Run. Lock order: mu
+// is the only lock, and nothing that blocks is called while it is held.
+type Manager struct {
+	Directory *directory.Directory
+	Clock     clock.Clock
+	Logger    log.Logger
+	// Config returns the newest configuration, nil before the first.
+	Config func() *config.Config
+	// Roles returns the roles of a configuration that must have an owner: its pools, and the roles
+	// for all of them.
+	Roles func(c *config.Config) []string
+	// Open returns a role runner, not yet claimed, for a role whose partition is in a slot.
+	Open func(role string, slot int) *RoleRunner
+	// ProbeTakeOver asks another node whether it could take a pool over, that is, whether the store
+	// responds to it.
+	ProbeTakeOver func(ctx context.Context, n directory.Node) error
+	// RequestTakeOver asks another node to take a pool over.
+	RequestTakeOver func(ctx context.Context, n directory.Node, pool string) (directory.Ownership, error)
+
+	mu       sync.Mutex
+	running  context.Context // of Run; a role taken over at another node's request ends with it
+	owned    map[string]*RoleRunner
+	claiming map[string]bool
+	refused  map[string]error     // reason of the last failed claim of a pool, nil after success
+	unowned  map[string]time.Time // since when a pool has no present owner
+	probed   map[string]time.Time // the value of unowned for which the preceding successors were last probed
+	unable   map[string]time.Time // until when a node is not chosen because it could not take a pool over
+	leaving  bool
+	tasks    sync.WaitGroup
+}
+
+// Time constants of the manager.
+const (
+	checkPeriod   = 250 * time.Millisecond  // between checks while the directory does not change
+	settle        = 700 * time.Millisecond  // after this node's start until it claims a pool that never had an owner: all nodes start within 0.3 s
+	successorTurn = 1500 * time.Millisecond // until a pool's next successor tries
+)
+
+// Run claims pools until the context ends.
+func (s *Manager) Run(ctx context.Context) {
+	began := s.Clock.Now()
+	s.mu.Lock()
+	s.running = ctx
+	s.mu.Unlock()
+	for ctx.Err() == nil {
+		v, changed := s.Directory.View()
+		if v != nil && v.Nodes[s.Directory.Self.Name].Incarnation == s.Directory.Self.Incarnation {
+			s.check(ctx, v, s.Clock.Now().Sub(began) > settle)
+		}
+		select {
+		case <-changed:
+		case <-s.Clock.After(checkPeriod):
+		case <-ctx.Done():
+		}
+	}
+	s.tasks.Wait()
+}
+
+// Owned returns the roles that this node owns, in order.
+func (s *Manager) Owned() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Sorted(maps.Keys(s.owned))
+}
+
+// check claims the pools without an owner whose successor is this node.
+func (s *Manager) check(ctx context.Context, v *directory.View, settled bool) {
+	c := s.Config()
+	if c == nil {
+		return
+	}
+	s.endReplaced(v)
+	s.relieveStuck(ctx, v)
+	s.improve(ctx, v)
+	pools := s.unownedPools(c, v)
+	successors := rankSuccessors(v, pools)
+	for _, pool := range pools {
+		_, known := v.Pools[pool]
+		if !known && !settled {
+			continue
+		}
+		turn := slices.Index(successors[pool], s.Directory.Self.Name)
+		switch {
+		case turn >= 0 && s.unownedFor(pool) >= time.Duration(turn)*successorTurn:
+			s.claim(pool)
+		case turn > 0 && turn <= probesAtOnce:
+			s.probePreceding(ctx, v, pool, successors[pool][:turn])
+		}
+	}
+}
+
+// endReplaced ends the roles that another node has taken over, as shown by a higher epoch in the
+// directory. A runner that appends nothing would not detect it otherwise.
+func (s *Manager) endReplaced(v *directory.View) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for role, t := range s.owned {
+		if o := v.Pools[role]; o.Epoch > t.Epoch() {
+			s.Logger.Info().Str("event", "yield").Str("pool", role).Uint64("epoch", t.Epoch()).Uint64("newer", o.Epoch).
+				Str("to", o.Node).Msg("another node has taken a pool over")
+			t.cancel()
+		}
+	}
+}
+
+// unownedPools returns the pools without a present owner, in order.
+func (s *Manager) unownedPools(c *config.Config, v *directory.View) []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.unowned == nil {
+		s.unowned = make(map[string]time.Time)
+	}
+	var list []string
+	for _, d := range s.Roles(c) {
+		n, _, present := v.Owner(d)
+		if present && (n.Name != s.Directory.Self.Name || s.owned[d] != nil || s.claiming[d]) {
+			delete(s.unowned, d)
+			continue
+		}
+		list = append(list, d)
+		if s.unowned[d].IsZero() {
+			s.unowned[d] = s.Clock.Now()
+		}
+	}
+	slices.Sort(list)
+	return list
+}
+
+func (s *Manager) unownedFor(pool string) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.Clock.Now().Sub(s.unowned[pool])
+}
+
+// rankSuccessors returns for each pool without an owner the nodes that may own it, the best first:
+// those that own the fewest pools relative to their processors. All nodes compute the same result
+// from the same view.
+func rankSuccessors(v *directory.View, pools []string) map[string][]string {
+	owns := countRoles(v)
+	names := make([]string, 0, len(v.Nodes))
+	for name := range v.Nodes {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	successors := make(map[string][]string, len(pools))
+	for _, pool := range pools {
+		ranked := slices.Clone(names)
+		first := rendezvous.Owner(pool, names)
+		slices.SortStableFunc(ranked, func(a, b string) int {
+			return cmp.Or(
+				cmp.Compare(load(v.Nodes[a], owns[a]), load(v.Nodes[b], owns[b])),
+				cmp.Compare(btoi(a != first), btoi(b != first)),
+			)
+		})
+		successors[pool] = ranked
+		if len(ranked) > 0 {
+			owns[ranked[0]]++
+		}
+	}
+	return successors
+}
+
+// load returns a node's load with one more pool, relative to its processors and link.
+func load(n directory.Node, owns int) float64 {
+	return float64(owns+1) / n.Capacity()
+}
+
+func btoi(b bool) int {
+	if b {
+		return 1
+	}
+	return 0
+}
--- a/services/ownership/tenure.go
+++ b/services/ownership/tenure.go
@@ -11,7 +11,7 @@
 	"github.com/yardbridge/yardbridge/services/directory"
 )
 
-// claim begins to claim a pool unless that is under way.
+// claim starts to claim a pool unless that is in progress.
 func (s *Manager) claim(pool string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,7 +34,7 @@
 	pool string
 }
 
-// run claims the pool and serves it until it is not owned any more.
+// run claims the pool and serves it until it is no longer owned.
 func (t tenure) run(ctx context.Context) {
 	defer t.s.tasks.Done()
 	ctx, cancel := context.WithCancel(ctx)
@@ -44,12 +44,12 @@
 	delete(t.s.claiming, t.pool)
 	t.s.refused[t.pool] = err
 	if err == nil {
-		o.cancel, o.since = cancel, t.s.Clock.Now()
+		o.cancel, o.claimedAt = cancel, t.s.Clock.Now()
 		t.s.owned[t.pool] = o
 	}
 	t.s.mu.Unlock()
 	if err != nil {
-		t.s.Logger.Info().Str("event", "claim").Str("pool", t.pool).Err(err).Str("outcome", "not owner").Msg("a pool was not claimed")
+		t.s.Logger.Info().Str("event", "claim").Str("pool", t.pool).Err(err).Str("outcome", "not owner").Msg("pool not claimed")
 		return
 	}
 	err = o.Run(ctx)
@@ -57,10 +57,10 @@
 	delete(t.s.owned, t.pool)
 	t.s.mu.Unlock()
 	t.s.Logger.Info().Str("event", "ownership-end").Str("pool", t.pool).Uint64("epoch", o.Epoch()).AnErr("why", err).
-		Msg("a pool is not owned any more")
+		Msg("pool ownership ended")
 }
 
-// claim claims the pool and tells all nodes.
+// claim claims the pool and publishes the ownership to all nodes.
 func (t tenure) claim(ctx context.Context) (*RoleRunner, error) {
 	self := t.s.Directory.Self
 	slot, err := t.s.Directory.AssignSlot(ctx, t.pool, t.s.Roles(t.s.Config()))
@@ -71,28 +71,28 @@
 	if err := o.Claim(ctx, self.Name); err != nil {
 		return nil, err
 	}
-	go telling{t.s, directory.Ownership{Pool: t.pool, Slot: slot, Epoch: o.Epoch(), Node: self.Name, Incarnation: self.Incarnation}, o}.run(ctx)
+	go publication{t.s, directory.Ownership{Pool: t.pool, Slot: slot, Epoch: o.Epoch(), Node: self.Name, Incarnation: self.Incarnation}, o}.run(ctx)
 	return o, nil
 }
 
-// telling publishes an ownership until that has succeeded.
-type telling struct {
+// publication publishes an ownership until that succeeds.
+type publication struct {
 	s         *Manager
 	ownership directory.Ownership
-	tenant    *RoleRunner
+	runner    *RoleRunner
 }
 
 // run publishes the ownership.
-func (t telling) run(ctx context.Context) {
+func (t publication) run(ctx context.Context) {
 	for {
 		err := t.s.Directory.Publish(ctx, t.ownership)
 		if err == nil {
 			return
 		}
-		t.s.Logger.Warn().Str("event", "publish").Str("pool", t.ownership.Pool).Err(err).Msg("an ownership could not be told")
+		t.s.Logger.Warn().Str("event", "publish").Str("pool", t.ownership.Pool).Err(err).Msg("ownership could not be published")
 		select {
-		case <-t.s.Clock.After(lookPeriod):
-		case <-t.tenant.Done():
+		case <-t.s.Clock.After(checkPeriod):
+		case <-t.runner.Done():
 			return
 		case <-ctx.Done():
 			return
@@ -100,8 +100,8 @@
 	}
 }
 
-// TakeOver claims a pool at the wish of its owner, and returns the ownership once
-// it is owned here.
+// TakeOver claims a pool at its owner's request and returns the ownership once the pool is owned
+// here.
 func (s *Manager) TakeOver(ctx context.Context, pool string) (directory.Ownership, error) {
 	s.claim(pool)
 	for {
@@ -118,23 +118,22 @@
 			return directory.Ownership{}, errkind.New(errkind.Fenced, "pool %s was not claimed", pool)
 		}
 		select {
-		case <-s.Clock.After(assumePoll):
+		case <-s.Clock.After(takeOverPoll):
 		case <-ctx.Done():
 			return directory.Ownership{}, errkind.New(errkind.OutcomeUnknown, "pool %s is being claimed", pool)
 		}
 	}
 }
 
-// ownership returns what the directory is to say of a duty that this node owns.
-func (s *Manager) ownership(duty string, t *RoleRunner) directory.Ownership {
+// ownership returns the directory entry of a role that this node owns.
+func (s *Manager) ownership(role string, t *RoleRunner) directory.Ownership {
 	self := s.Directory.Self
-	o := directory.Ownership{Pool: duty, Epoch: t.Epoch(), Node: self.Name, Incarnation: self.Incarnation}
+	o := directory.Ownership{Pool: role, Epoch: t.Epoch(), Node: self.Name, Incarnation: self.Incarnation}
 	if v, _ := s.Directory.View(); v != nil {
-		o.Slot = v.Pools[duty].Slot
+		o.Slot = v.Pools[role].Slot
 	}
 	return o
 }
 
-// assumePoll is how often a node that was asked to take a pool over looks
-// whether it has.
-const assumePoll = 5 * time.Millisecond
+// takeOverPoll is how often a node that was asked to take a pool over checks whether it has.
+const takeOverPoll = 5 * time.Millisecond
