--- a/services/fleetwatch/watch.go
+++ b/services/fleetwatch/watch.go
@@ -18,10 +18,10 @@
 	"github.com/yardbridge/yardbridge/services/platform"
 )
 
-// ListPeriod is how often the entries together read the list.
+// ListPeriod is the mean time between two reads of the list by all entries together.
 const ListPeriod = 250 * time.Millisecond
 
-// listTimeout bounds one reading of the list.
+// listTimeout bounds one read of the list.
 const listTimeout = 2 * time.Second
 
 // Watcher reads the list in turn with the other entries.
@@ -31,7 +31,7 @@
 	Fleet   platform.Fleet
 	State   func() state.State
 	Propose func(ctx context.Context, records []record.Record) ([]state.Verdict, error)
-	// NotifyLeaving is told which workers leave or are gone.
+	// NotifyLeaving receives the workers that are leaving or gone.
 	NotifyLeaving func(workers []string)
 }
 
@@ -39,7 +39,7 @@
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := w.Refresh(ctx); err != nil {
-			w.Logger.Debug().Err(err).Msg("instance list not taken over")
+			w.Logger.Debug().Err(err).Msg("instance list not applied")
 		}
 		select {
 		case <-w.Clock.After(w.pause()):
@@ -48,15 +48,15 @@
 	}
 }
 
-// pause is the time to the next reading. Each entry reads less often the more
-// there are, so that the platform sees the same load, and at random times, so
-// that they do not all read at once and then none for long.
+// pause returns the time to the next read. The more entries there are, the less often each of them
+// reads, so that the load on the platform stays the same. The time is random, so that the entries
+// do not all read at once with a long gap afterwards.
 func (w *Watcher) pause() time.Duration {
 	mean := ListPeriod * time.Duration(max(len(w.State().MemberNames()), 1))
 	return time.Duration((0.5 + rand.Float64()) * float64(mean))
 }
 
-// Refresh reads the list and proposes what changed.
+// Refresh reads the list and proposes the changes.
 func (w *Watcher) Refresh(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -68,9 +68,9 @@
 	if l.Revision <= s.ListRevision {
 		return nil
 	}
-	sighting, gone := Diff(s, l)
-	w.tell(sighting.Workers)
-	records := []record.Record{{ListUpdate: &sighting}}
+	changes, gone := Diff(s, l)
+	w.notify(changes.Workers)
+	records := []record.Record{{ListUpdate: &changes}}
 	for i := range gone {
 		records = append(records, record.Record{Gone: &gone[i]})
 	}
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// tell passes on what must not wait for the log.
-func (w *Watcher) tell(changed []fleet.Worker) {
+// notify reports the workers that are leaving or gone, which must not wait for the log.
+func (w *Watcher) notify(changed []fleet.Worker) {
 	var leaving []string
 	for _, c := range changed {
 		if c.Condition != fleet.Live {
@@ -99,32 +99,31 @@
 	}
 }
 
-// Diff returns what a list shows that the state does not, and the entries
-// that it no longer shows.
+// Diff returns what a list shows that the state does not, and the entries that it no longer shows.
 func Diff(s state.State, l platform.Listing) (record.ListUpdate, []record.Gone) {
-	g := record.ListUpdate{Revision: l.Revision}
+	changes := record.ListUpdate{Revision: l.Revision}
 	listed := make(map[string]bool, len(l.Workers))
 	for _, w := range l.Workers {
 		listed[w.ID] = true
 		if i, ok := s.Instances.Get(w.ID); !ok || !i.Worker.Equal(w) {
-			g.Workers = append(g.Workers, w)
+			changes.Workers = append(changes.Workers, w)
 		}
 	}
 	for id, i := range s.Instances.All() {
 		if !listed[id] && i.Worker.Condition != fleet.Gone {
-			g.Workers = append(g.Workers, i.Worker.WithCondition(fleet.Gone))
+			changes.Workers = append(changes.Workers, i.Worker.WithCondition(fleet.Gone))
 		}
 	}
 	var gone []record.Gone
 	for name, e := range s.Entries.All() {
-		shown := slices.Contains(l.Entries, name)
+		listedNow := slices.Contains(l.Entries, name)
 		switch {
 		case !e.Present:
-		case shown && !e.Listed:
-			g.Entries = append(g.Entries, name)
-		case !shown && e.Listed:
+		case listedNow && !e.Listed:
+			changes.Entries = append(changes.Entries, name)
+		case !listedNow && e.Listed:
 			gone = append(gone, record.Gone{Entry: name, Incarnation: e.Incarnation})
 		}
 	}
-	return g, gone
+	return changes, gone
 }
