--- a/services/rollout/confirmation.go
+++ b/services/rollout/confirmation.go
@@ -11,65 +11,65 @@
 	"github.com/yardbridge/yardbridge/models/state"
 )
 
-// confirmation asks every entry to say when it has folded the log up to a mark.
-// It may be begun before the append, so that each entry answers as soon as the
-// log has told it.
+// confirmation waits until every entry has folded the log up to a position. It may begin before the
+// append, so that each entry responds as soon as it has read the log that far.
 type confirmation struct {
 	v     *Service
 	group sync.WaitGroup
 
-	mu      sync.Mutex
-	mark    state.Position
-	asked   map[string]bool
-	lagging []string
+	mu        sync.Mutex
+	position  state.Position
+	requested map[string]bool
+	lagging   []string
 }
 
-// begin asks the entries of the roster about a mark; it does not wait.
+// begin sends the requests for a position to all member entries without waiting for their
+// responses.
 func (c *confirmation) begin(ctx context.Context, m state.Position) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.mark = m
-	c.ask(ctx)
+	c.position = m
+	c.request(ctx)
 }
 
-// ask asks the entries that have not been asked yet; c.mu is held.
-func (c *confirmation) ask(ctx context.Context) {
-	if c.asked == nil {
-		c.asked = map[string]bool{c.v.Name: true}
+// request sends requests to the entries that have not got one yet; c.mu is held.
+func (c *confirmation) request(ctx context.Context) {
+	if c.requested == nil {
+		c.requested = map[string]bool{c.v.Name: true}
 	}
 	for _, entry := range c.v.State().MemberNames() {
-		if c.asked[entry] {
+		if c.requested[entry] {
 			continue
 		}
-		c.asked[entry] = true
+		c.requested[entry] = true
 		c.group.Add(1)
-		go asking{c, entry, c.mark}.run(ctx)
+		go entryRequest{c, entry, c.position}.run(ctx)
 	}
 }
 
-// await returns the entries that have not reached the mark in time; those that
-// have joined since the beginning are asked as well.
+// await returns the entries that have not reached the position in time. It also sends requests to
+// the entries that have joined since the beginning.
 func (c *confirmation) await(ctx context.Context) (lagging []string) {
 	c.mu.Lock()
-	c.ask(ctx)
+	c.request(ctx)
 	c.mu.Unlock()
 	c.group.Wait()
 	slices.Sort(c.lagging)
 	return c.lagging
 }
 
-// asking is the question to one entry.
-type asking struct {
-	c     *confirmation
-	entry string
-	mark  state.Position
+// entryRequest is the request to one entry.
+type entryRequest struct {
+	c        *confirmation
+	entry    string
+	position state.Position
 }
 
-func (a asking) run(ctx context.Context) {
+func (a entryRequest) run(ctx context.Context) {
 	defer a.c.group.Done()
 	bounded, cancel := context.WithTimeout(ctx, waitLimit)
 	defer cancel()
-	reached, err := a.c.v.Reached(bounded, a.entry, a.mark)
+	reached, err := a.c.v.Reached(bounded, a.entry, a.position)
 	if err == nil && reached {
 		return
 	}
--- a/services/rollout/rollout.go
+++ b/services/rollout/rollout.go
@@ -19,43 +19,43 @@
 // logLimit bounds how long a change waits for the log.
 const logLimit = 5 * time.Second
 
-// waitLimit bounds how long an apply waits for each of the entries.
+// waitLimit bounds how long an apply waits for each entry.
 const waitLimit = 10 * time.Second
 
-// Service applies configuration.
+// Service applies configuration changes.
 type Service struct {
 	Clock clock.Clock
 	Name  string // of this entry
 	State func() state.State
-	// Propose puts a record on the log and returns its verdict; sent is told
-	// before the append which batch it is in, and must not block.
+	// Propose puts a record on the log and returns its verdict. It calls sent before the append
+	// with the batch that contains the record; sent must not block.
 	Propose func(ctx context.Context, r record.Record, sent func(state.Position)) error
-	// Reached waits for a while until an entry has folded the log up to a
-	// mark, and returns whether it has.
+	// Reached waits for a limited time until an entry has folded the log up to a position, and
+	// returns whether it has.
 	Reached func(ctx context.Context, entry string, m state.Position) (bool, error)
 }
 
-// Request is a file to apply.
+// Request is a configuration file to apply.
 type Request struct {
 	File          manifest.File
-	Base          *uint64 // version that it was written against, nil for the newest
+	Base          *uint64 // version that the file was written against, nil for the newest
 	Operator      string
-	Team          string // whose objects alone may change, empty for all
+	Team          string // the only team whose objects may change, empty for all
 	AllowShortage bool   // accept a file that asks for more instances than there are
 }
 
-// Result is an accepted change.
+// Result is the result of an accepted change.
 type Result struct {
 	Version uint64        `json:"version"`
 	Changed []string      `json:"changed"`
 	InForce bool          `json:"in_force"` // on every entry
 	Lagging []string      `json:"lagging,omitempty"`
 	Preview pools.Preview `json:"preview"`
-	// Calendar is when racks come up for maintenance; only a plan has it.
+	// Calendar lists when racks are due for maintenance; only Plan sets it.
 	Calendar []pools.RackDue `json:"calendar,omitempty"`
 }
 
-// Plan returns what a file would change and lead to, without applying it.
+// Plan returns what a file would change and what would result, without applying it.
 func (v *Service) Plan(q Request) (Result, error) {
 	result, p, err := v.plan(q)
 	if err != nil {
@@ -65,13 +65,13 @@
 	return result, nil
 }
 
-// proposal is a change that was worked out.
+// proposal is a computed change.
 type proposal struct {
 	apply   record.Apply
-	catalog state.Catalog // that it would lead to
+	catalog state.Catalog // the catalog that would result
 }
 
-// plan returns besides what would be proposed.
+// plan returns the result of Plan and the change that would be proposed.
 func (v *Service) plan(q Request) (Result, proposal, error) {
 	s := v.State()
 	change, base, err := v.change(s, q)
@@ -106,8 +106,8 @@
 	return change, base, allowed(s.Catalog, change, q.Team)
 }
 
-// allowed returns a Forbidden error where a team would change what is not its
-// own; a team may not raise its own quota either.
+// allowed returns a Forbidden error if a team would change objects of others. A team may not raise
+// its own quota either.
 func allowed(c state.Catalog, change state.Change, team string) error {
 	if team == "" {
 		return nil
@@ -127,16 +127,16 @@
 	return nil
 }
 
-// Apply puts a file on the log as a whole and waits until it is in force.
+// Apply puts a complete file on the log and waits until it is in force.
 func (v *Service) Apply(ctx context.Context, q Request) (Result, error) {
 	result, p, err := v.plan(q)
 	if err != nil {
 		return result, err
 	}
 	if !q.AllowShortage && len(result.Preview.Shortages) > 0 {
-		short := result.Preview.Shortages[0]
+		shortage := result.Preview.Shortages[0]
 		return result, errkind.New(errkind.Infeasible, "pool %s asks for %d instances and would get %d: %s; apply with short=true to accept that",
-			short.Pool, short.Wanted, short.Present, short.Reason)
+			shortage.Pool, shortage.Wanted, shortage.Present, shortage.Reason)
 	}
 	waiting, cancel := context.WithTimeout(ctx, logLimit+waitLimit)
 	defer cancel()
@@ -146,14 +146,14 @@
 	} else if err := v.propose(waiting, p.apply, c); err != nil {
 		return result, err
 	}
-	// The verdict was read back, so this process has folded the change.
+	// The verdict was read from the log, so this process has folded the change.
 	result.Version = v.State().Catalog.Version
 	result.Lagging = c.await(waiting)
 	result.InForce = len(result.Lagging) == 0
 	return result, nil
 }
 
-// propose puts a change on the log; the entries are asked for it meanwhile.
+// propose puts a change on the log; the requests to the entries are sent meanwhile.
 func (v *Service) propose(ctx context.Context, change record.Apply, c *confirmation) error {
 	bounded, cancel := context.WithTimeout(ctx, logLimit)
 	defer cancel()
--- a/services/rollout/rollout_test.go
+++ b/services/rollout/rollout_test.go
@@ -16,16 +16,16 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// rig is a service of entry "a" over a state in memory.
+// rig is a service of entry "a" with a state in memory.
 type rig struct {
 	Service
-	s      state.State
-	asked  chan string // entries, as they are asked
-	behind string      // entry that does not reach the mark
+	s         state.State
+	requested chan string // entries that have received a request, in order
+	behind    string      // the entry that does not reach the position
 }
 
 func newRig(entries ...string) *rig {
-	r := &rig{asked: make(chan string, 16)}
+	r := &rig{requested: make(chan string, 16)}
 	for _, name := range entries {
 		r.join(name)
 	}
@@ -37,9 +37,9 @@
 			return r.fold("a", 2, c)
 		},
 		Reached: func(_ context.Context, entry string, m state.Position) (bool, error) {
-			r.asked <- entry
+			r.requested <- entry
 			if m.Writer != "a" || m.Sequence != 2 {
-				return false, errkind.New(errkind.BadRequest, "asked about %+v", m)
+				return false, errkind.New(errkind.BadRequest, "request with position %+v", m)
 			}
 			return entry != r.behind, nil
 		},
@@ -68,18 +68,18 @@
 	return Request{Base: &base, File: manifest.File{Deployment: "d", Teams: []manifest.Team{{Name: "t"}}}}
 }
 
-// TestEntriesAreAskedBeforeTheVerdict: the answers of the others must not wait
-// for this entry's own reading of the log.
-func TestEntriesAreAskedBeforeTheVerdict(t *testing.T) {
+// TestRequestsAreSentBeforeTheVerdict guards against slow applies: the responses of the other
+// entries must not wait for this entry's own read of the log.
+func TestRequestsAreSentBeforeTheVerdict(t *testing.T) {
 	r := newRig("a", "b", "c")
 	propose := r.Propose
 	r.Propose = func(ctx context.Context, c record.Record, sent func(state.Position)) error {
 		sent(state.Position{Writer: "a", Incarnation: 1, Sequence: 2})
 		for range 2 {
 			select {
-			case <-r.asked:
+			case <-r.requested:
 			case <-ctx.Done():
-				return errkind.New(errkind.Internal, "nobody was asked meanwhile")
+				return errkind.New(errkind.Internal, "no request was sent meanwhile")
 			}
 		}
 		return propose(ctx, c, func(state.Position) {})
@@ -99,7 +99,7 @@
 	assert.DeepEqual(t, result.Lagging, []string{"c"})
 }
 
-func TestEntryThatJoinsMeanwhileIsAsked(t *testing.T) {
+func TestEntryThatJoinsMeanwhileGetsARequest(t *testing.T) {
 	r := newRig("a", "b")
 	propose := r.Propose
 	r.Propose = func(ctx context.Context, c record.Record, sent func(state.Position)) error {
@@ -117,7 +117,7 @@
 	r := newRig("a", "b")
 	propose := r.Propose
 	r.Propose = func(ctx context.Context, c record.Record, sent func(state.Position)) error {
-		// Another operator's file for the same object is first in the log.
+		// Another operator's file for the same object precedes it in the log.
 		other := aTeam(0).File.Objects()
 		other[0].Team.QuotaCores = 1
 		assert.NilError(t, r.fold("b", 2, record.Record{Apply: &record.Apply{Deployment: "e", Put: other}}))
