--- a/services/ledger/appender.go
+++ b/services/ledger/appender.go
@@ -13,50 +13,50 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// appender writes batches, one after another.
+// appender appends batches to the log, one after another.
 type appender struct {
-	ledger *Ledger
-	pace   *rate.Limiter
-	rate   float64 // appends a second
+	ledger  *Ledger
+	limiter *rate.Limiter
+	rate    float64 // appends per second
 }
 
-// run writes what is queued until the context ends.
+// run appends the queued proposals until the context ends.
 func (a *appender) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !a.ledger.waitForWork(ctx) {
 			return
 		}
-		a.keepPace(ctx)
+		a.waitForRate(ctx)
 		batch, settled := a.ledger.nextBatch()
-		a.ledger.tellSent(batch)
+		a.ledger.notifySent(batch)
 		data, err := batch.Encode()
 		if err != nil {
-			panic(err) // records hold nothing that can't be encoded
+			panic(err) // records can always be encoded
 		}
 		a.write(ctx, data, settled)
 	}
 }
 
-// keepPace waits for this entry's turn.
-func (a *appender) keepPace(ctx context.Context) {
+// waitForRate waits until the rate limit allows the next append.
+func (a *appender) waitForRate(ctx context.Context) {
 	now := a.ledger.Clock.Now()
-	if wait := a.pace.ReserveN(now, 1).DelayFrom(now); wait > 0 {
+	if wait := a.limiter.ReserveN(now, 1).DelayFrom(now); wait > 0 {
 		a.ledger.pause(ctx, wait)
 	}
 }
 
-// adapt changes the pace after an append was taken or refused.
-func (a *appender) adapt(taken bool) {
-	if taken {
-		a.rate = min(a.rate+appendsRegain, appendsMost)
+// adapt changes the rate after an append was accepted or refused.
+func (a *appender) adapt(accepted bool) {
+	if accepted {
+		a.rate = min(a.rate+appendRateStep, maxAppendRate)
 	} else {
-		a.rate = max(a.rate/2, appendsLeast)
+		a.rate = max(a.rate/2, minAppendRate)
 	}
-	a.pace.SetLimitAt(a.ledger.Clock.Now(), rate.Limit(a.rate))
+	a.limiter.SetLimitAt(a.ledger.Clock.Now(), rate.Limit(a.rate))
 }
 
-// write appends a batch until it was read back. After an error the append may
-// have taken effect; the fold drops the copies that a repeat leaves.
+// write repeats the append of a batch until the batch was read back. After an error the append may
+// have taken effect; the fold drops the copies that a repetition leaves.
 func (a *appender) write(ctx context.Context, data []byte, settled <-chan struct{}) {
 	l := a.ledger
 	for ctx.Err() == nil {
@@ -84,9 +84,9 @@
 	}
 }
 
-// appendByPeer has a peer append a batch, since this process alone may be cut
-// off from the log. The batch is this process's own all the same, and the fold
-// drops it if it is there already.
+// appendByPeer asks a peer to append a batch, because this process alone may be cut off from the
+// log. The batch keeps this process as its writer, and the fold drops it if it is already on the
+// log.
 func (l *Ledger) appendByPeer(ctx context.Context, data []byte) {
 	if l.Peers.Append == nil {
 		return
--- a/services/ledger/ledger.go
+++ b/services/ledger/ledger.go
@@ -16,21 +16,21 @@
 	"github.com/yardbridge/yardbridge/services/platform"
 )
 
-// Peers is what the ledger asks of the other entries while the log is down or
-// has forgotten too much; nil functions ask nobody.
+// Peers are the calls to other entries while the log is down or no longer holds the records needed;
+// nil functions are not called.
 type Peers struct {
-	// Relay returns records from an offset on, and how long ago the peer was
-	// in contact with the log.
+	// Relay returns records from an offset on, and the time since the peer's last contact with the
+	// log.
 	Relay func(ctx context.Context, from uint64) (records []record.Stored, age time.Duration, err error)
 	// State returns the newest state of a peer.
 	State func(ctx context.Context) (state.State, error)
-	// Append puts a batch of this process on the log through a peer. After an
-	// error it may still have taken effect.
+	// Append appends a batch of this process to the log through a peer. After an error it may still
+	// have taken effect.
 	Append func(ctx context.Context, data []byte) error
 }
 
-// Ledger is one process's view of the log. Lock order: mu is taken last and
-// never held while calling out.
+// Ledger is one process's view of the log. Lock order: mu is taken last and never held during calls
+// to other components.
 type Ledger struct {
 	Log         platform.Log
 	Peers       Peers
@@ -43,21 +43,21 @@
 
 	mu      sync.Mutex
 	state   state.State
-	changed chan struct{} // closed at the next publication; nil until somebody waits
+	changed chan struct{} // closed at the next publication; nil without a waiting caller
 	recent  []record.Stored
 	contact time.Time // last time at which the state was known to be the newest
 	started bool
 	writer  writer
 }
 
-// State returns the newest state that was folded.
+// State returns the newest folded state.
 func (l *Ledger) State() state.State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state
 }
 
-// Changed returns the newest state and a channel that is closed at the next one.
+// Changed returns the newest state and a channel that is closed when a newer one is published.
 func (l *Ledger) Changed() (state.State, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,7 +74,7 @@
 	return l.contact
 }
 
-// WaitFor returns once the state has folded everything up to a mark.
+// WaitFor returns once the state has folded everything up to a position.
 func (l *Ledger) WaitFor(ctx context.Context, m state.Position) error {
 	for {
 		s, changed := l.Changed()
@@ -89,7 +89,7 @@
 	}
 }
 
-// Tail returns the records from an offset on that are remembered for peers.
+// Tail returns the records from an offset on that are cached for peers.
 func (l *Ledger) Tail(from uint64) []record.Stored {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,12 +100,12 @@
 	if skip >= len(l.recent) {
 		return nil
 	}
-	rest := l.recent[skip:]
-	return rest[:min(len(rest), tailPage)]
+	tail := l.recent[skip:]
+	return tail[:min(len(tail), tailPage)]
 }
 
-// Removed reports whether the roster no longer holds this process: it was
-// replaced, or the platform no longer lists it.
+// Removed reports whether this process is no longer a member: it was replaced, or the platform no
+// longer lists it.
 func (l *Ledger) Removed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,19 +116,19 @@
 	return e.Incarnation > l.Incarnation || e.Incarnation == l.Incarnation && !e.Present
 }
 
-// Bounds of what is remembered for peers.
+// Bounds of the records cached for peers.
 const (
 	tailLength = 4096
 	tailPage   = 512
 )
 
-// publish makes a newer state the current one, and answers the proposals that
-// it decides; folded holds what led to it, in order.
+// publish makes a newer state the current one and completes the proposals that it decides; folded
+// holds the folded batches that led to it, in order.
 func (l *Ledger) publish(s state.State, folded []state.Folded, records []record.Stored, contact time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s.Offset < l.state.Offset {
-		return // never go back, whoever was slower
+		return // a slower caller never replaces a newer state
 	}
 	l.state = s
 	if contact.After(l.contact) {
@@ -149,7 +149,7 @@
 	}
 }
 
-// remember keeps the newest records for peers; a gap starts anew.
+// remember caches the newest records for peers; a gap in the offsets clears the cache.
 func (l *Ledger) remember(records []record.Stored) {
 	if len(records) == 0 {
 		return
@@ -158,7 +158,7 @@
 		l.recent = nil
 	}
 	l.recent = append(l.recent, records...)
-	if over := len(l.recent) - tailLength; over > 0 {
-		l.recent = append([]record.Stored(nil), l.recent[over:]...)
+	if excess := len(l.recent) - tailLength; excess > 0 {
+		l.recent = append([]record.Stored(nil), l.recent[excess:]...)
 	}
 }
--- a/services/ledger/ledger_test.go
+++ b/services/ledger/ledger_test.go
@@ -25,7 +25,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// start brings a ledger to life on a log and ends it with the test.
+// start runs a ledger on a log until the test ends.
 func start(t *testing.T, l *standin.Log, name string, peers Peers) *Ledger {
 	t.Helper()
 	g := &Ledger{Log: l.Port(), Logger: log.Nop(), Name: name, Incarnation: 1, Peers: peers}
@@ -47,13 +47,13 @@
 	}}
 }
 
-func TestLostAnswersApplyOnce(t *testing.T) {
+func TestLostResponsesApplyOnce(t *testing.T) {
 	l := &standin.Log{}
 	g := start(t, l, "a", Peers{})
 	ctx := context.Background()
 	for n := range 20 {
 		l.SetFaults(standin.LogFaults{LoseResponses: 2})
-		// A second application would clash with the first.
+		// A second application of the change would conflict with the first.
 		assert.NilError(t, g.ProposeOne(ctx, team("d", fmt.Sprintf("t%d", n), g.State().Catalog.Version)))
 	}
 	assert.Equal(t, len(g.State().Catalog.Active()), 20)
@@ -81,7 +81,7 @@
 	assert.Assert(t, after-before <= 4, "%d appends", after-before)
 }
 
-func TestDownLogIsSaid(t *testing.T) {
+func TestDownLogIsReported(t *testing.T) {
 	l := &standin.Log{}
 	g := start(t, l, "a", Peers{})
 	l.SetFaults(standin.LogFaults{Down: true})
@@ -90,14 +90,14 @@
 		defer cancel()
 		return g.ProposeOne(ctx, team("d", "t", 0))
 	}
-	// The first is on its way and may yet land; the second surely will not.
+	// The first may still be appended; the second certainly will not.
 	assert.Assert(t, errkind.Is(short(), errkind.OutcomeUnknown))
 	assert.Assert(t, errkind.Is(short(), errkind.LogUnavailable))
 	l.SetFaults(standin.LogFaults{})
 	assert.NilError(t, g.WaitFor(context.Background(), state.Position{Offset: g.State().Offset + 1}))
 }
 
-func TestLateVerdictIsTold(t *testing.T) {
+func TestLateVerdictIsReported(t *testing.T) {
 	l := &standin.Log{}
 	g := start(t, l, "a", Peers{})
 	l.SetFaults(standin.LogFaults{Down: true})
@@ -110,7 +110,8 @@
 	assert.NilError(t, (<-late)[0])
 }
 
-// TestOutageLongerThanTheRetention: the log forgets how the state came about.
+// TestOutageLongerThanTheRetention guards against a start without a state: the log no longer holds
+// the records that led to the state.
 func TestOutageLongerThanTheRetention(t *testing.T) {
 	fake := clock.NewFake(time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC))
 	l := &standin.Log{Clock: clock.Clock{NowFunc: fake.Now}, Retention: time.Hour}
@@ -121,15 +122,15 @@
 	fake.Advance(2 * time.Hour)
 	l.SetFaults(standin.LogFaults{})
 
-	// Without a snapshot a fresh process can't start from the log alone ...
+	// Without a snapshot on the log, a new process can't start from the log alone,
 	fresh := &Ledger{Log: l.Port(), Logger: log.Nop(), Name: "b", Incarnation: 1}
 	assert.Assert(t, errkind.IsErrLogUnavailable(fresh.Start(ctx)))
-	// ... but from a peer it can.
-	whole := func(context.Context) (state.State, error) { return a.State(), nil }
-	b := start(t, l, "b", Peers{State: whole})
+	// but it can start from a peer.
+	peerState := func(context.Context) (state.State, error) { return a.State(), nil }
+	b := start(t, l, "b", Peers{State: peerState})
 	assert.Equal(t, len(b.State().Catalog.Active()), 1)
 
-	// With a snapshot on the log it needs nobody.
+	// With a snapshot on the log it needs no peer.
 	s := a.State()
 	data, err := s.Encode()
 	assert.NilError(t, err)
@@ -157,7 +158,7 @@
 			if _, err := a.Log.Append(ctx, data); err != nil {
 				return err
 			}
-			return errkind.New(errkind.OutcomeUnknown, "and the answer was lost")
+			return errkind.New(errkind.OutcomeUnknown, "the response was lost")
 		},
 	}}
 	b.Log.Append = func(context.Context, []byte) (uint64, error) { return 0, cut }
@@ -173,13 +174,13 @@
 	assert.NilError(t, a.ProposeOne(context.Background(), team("d", "t", 0)))
 	assert.NilError(t, b.WaitFor(context.Background(), state.Position{Offset: a.State().Offset}))
 	assert.Equal(t, len(b.State().Catalog.Active()), 1)
-	// What it writes reaches the log through the peer, once.
+	// Its own records reach the log through the peer, once.
 	assert.NilError(t, b.Join(context.Background()))
 	assert.NilError(t, b.ProposeOne(context.Background(), team("d", "u", b.State().Catalog.Version)))
 	assert.Equal(t, len(a.State().Catalog.Active()), 2)
 }
 
-func TestReplacedProcessKnowsIt(t *testing.T) {
+func TestReplacedProcessIsRemoved(t *testing.T) {
 	l := &standin.Log{}
 	old := start(t, l, "a", Peers{})
 	assert.Assert(t, !old.Removed())
@@ -198,7 +199,7 @@
 	<-ended
 }
 
-// underway returns how many records wait or are in flight.
+// underway returns how many records are queued or in flight.
 func (l *Ledger) underway() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/services/ledger/reader.go
+++ b/services/ledger/reader.go
@@ -15,15 +15,15 @@
 	"github.com/yardbridge/yardbridge/services/platform"
 )
 
-// Times of the reader.
+// Time limits of the reader.
 const (
 	readWait    = 10 * time.Second
 	readTimeout = 15 * time.Second
 	readPause   = 200 * time.Millisecond
 )
 
-// Start brings the state up to the end of the log, or to the newest state of a
-// peer while the log is down, and returns the highest offset it learned of.
+// Start loads the state up to the end of the log, or the newest state of a peer while the log is
+// down.
 func (l *Ledger) Start(ctx context.Context) error {
 	page, err := l.Log.Read(ctx, 0, 0)
 	if err == nil {
@@ -37,32 +37,32 @@
 	}
 	s, peerErr := l.Peers.State(ctx)
 	if peerErr != nil {
-		return errors.Annotatef(err, "no peer has the state either (%v)", peerErr)
+		return errors.Annotatef(err, "no state from a peer either (%v)", peerErr)
 	}
 	l.publish(s, nil, nil, time.Time{})
 	return nil
 }
 
-// readToEnd folds what the log holds now.
+// readToEnd folds the log up to its current end.
 func (l *Ledger) readToEnd(ctx context.Context) error {
 	for {
 		page, err := l.Log.Read(ctx, l.State().Offset, 0)
 		if err != nil {
 			return errors.Trace(err)
 		}
-		l.take(page)
+		l.apply(page)
 		if l.State().Offset >= page.Next {
 			return nil
 		}
 	}
 }
 
-// restore starts from the newest whole snapshot that the log still holds, or
-// from a peer where there is none.
+// restore starts from the newest complete snapshot that the log still holds, or from a peer if
+// there is none.
 func (l *Ledger) restore(ctx context.Context, first uint64) error {
 	s, err := l.findSnapshot(ctx, first)
 	if err != nil && l.Peers.State != nil {
-		l.Logger.Warn().Err(err).Msg("no snapshot on the log, asking the peers")
+		l.Logger.Warn().Err(err).Msg("no snapshot on the log, requesting the state from peers")
 		s, err = l.Peers.State(ctx)
 	}
 	if err != nil {
@@ -72,7 +72,7 @@
 	return l.readToEnd(ctx)
 }
 
-// findSnapshot reads the log from its oldest record for whole snapshots.
+// findSnapshot reads the log from its oldest record on and returns the newest complete snapshot.
 func (l *Ledger) findSnapshot(ctx context.Context, first uint64) (state.State, error) {
 	var assembler state.Assembler
 	var newest state.State
@@ -93,7 +93,7 @@
 		}
 	}
 	if !found || newest.Offset < first {
-		return newest, errkind.New(errkind.LogUnavailable, "the log begins at %d and holds no whole snapshot after that", first)
+		return newest, errkind.New(errkind.LogUnavailable, "the log begins at %d and holds no complete snapshot after that", first)
 	}
 	return newest, nil
 }
@@ -103,49 +103,49 @@
 	if err != nil {
 		return nil // the fold reports it
 	}
-	var whole []state.State
+	var complete []state.State
 	for _, p := range b.Records {
 		if p.Snapshot == nil {
 			continue
 		}
 		if s, ok := a.Add(*p.Snapshot); ok {
-			whole = append(whole, s)
+			complete = append(complete, s)
 		}
 	}
-	return whole
+	return complete
 }
 
-// take folds a page; records before the state's offset are passed over.
-func (l *Ledger) take(page platform.Page) {
+// apply folds a page; records before the state's offset are skipped.
+func (l *Ledger) apply(page platform.Page) {
 	l.fold(page.Records, l.Clock.Now())
 }
 
-// fold folds records in order and publishes the state after the last one; a
-// zero contact leaves open whether that is the newest one.
+// fold folds records in order and publishes the resulting state. With a zero contact, that state is
+// not known to be the newest.
 func (l *Ledger) fold(records []record.Stored, contact time.Time) {
 	s := l.State()
 	var folded []state.Folded
-	var taken []record.Stored
+	var applied []record.Stored
 	for _, r := range records {
 		if r.Offset != s.Offset {
 			continue
 		}
 		f := s.Fold(r)
 		if f.State.Unreadable > s.Unreadable {
-			l.Logger.Warn().Uint64("offset", r.Offset).Msg("a record can't be read by this release")
+			l.Logger.Warn().Uint64("offset", r.Offset).Msg("log record can't be read by this release")
 		}
 		s = f.State
 		folded = append(folded, f)
-		taken = append(taken, r)
+		applied = append(applied, r)
 	}
-	l.publish(s, folded, taken, contact)
+	l.publish(s, folded, applied, contact)
 }
 
 // run reads the log until the context ends.
 func (l *Ledger) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := l.readOnce(ctx); err != nil {
-			l.Logger.Debug().Err(err).Msg("log not read")
+			l.Logger.Debug().Err(err).Msg("reading the log failed")
 			l.relayOnce(ctx)
 			l.pause(ctx, readPause)
 		}
@@ -163,11 +163,11 @@
 	if page.First > l.State().Offset {
 		return l.restore(bounded, page.First)
 	}
-	l.take(page)
+	l.apply(page)
 	return nil
 }
 
-// relayOnce takes newer records from a peer.
+// relayOnce reads newer records from a peer.
 func (l *Ledger) relayOnce(ctx context.Context) {
 	if l.Peers.Relay == nil {
 		return
--- a/services/ledger/writer.go
+++ b/services/ledger/writer.go
@@ -14,13 +14,13 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// Bounds of the writer. The log takes about 100 appends a second from all
-// entries together. Each entry writes at once while the log takes it, halves
-// its rate when the log refuses, and regains it step by step.
+// Bounds of the writer. The log accepts about 100 appends a second from all entries together. Each
+// entry appends without delay while the log accepts it, halves its rate when the log refuses an
+// append, and increases it step by step afterwards.
 const (
-	appendsMost    = 90 // a second, alone
-	appendsLeast   = 0.5
-	appendsRegain  = 0.5 // added to the rate by each append that was taken
+	maxAppendRate  = 90 // per second, by one entry alone
+	minAppendRate  = 0.5
+	appendRateStep = 0.5 // added to the rate by each accepted append
 	appendBurst    = 4
 	appendTimeout  = 5 * time.Second
 	appendPause    = 50 * time.Millisecond
@@ -28,41 +28,41 @@
 	maxBatch       = 512
 	maxBatchBytes  = 256 << 10
 	maxBacklog     = 4096 // records
-	bytesPerRecord = 64   // about, beside what a record carries
+	bytesPerRecord = 64   // estimate, in addition to a record's variable parts
 )
 
-// Proposal is a group of records that goes on the log in one append.
+// Proposal is a group of records that one append puts on the log.
 type Proposal struct {
 	Records []record.Record
-	// OnLateVerdicts is called where Propose has given up and the outcome is known
-	// after all; it may be nil.
+	// OnLateVerdicts is called if Propose has given up and the outcome becomes known afterwards; it
+	// may be nil.
 	OnLateVerdicts func([]state.Verdict)
-	// OnSend is told, before the append, which batch the records are in; it may
-	// be nil and must not block.
+	// OnSend is called before the append with the batch that contains the records; it may be nil
+	// and must not block.
 	OnSend func(m state.Position)
 }
 
-// waiting is a proposal on its way; Ledger.mu guards it.
+// waiting is a pending proposal; Ledger.mu guards it.
 type waiting struct {
 	Proposal
-	done      chan struct{} // closed once verdicts or failure are set
+	done      chan struct{} // closed once verdicts or lost are set
 	verdicts  []state.Verdict
-	lost      bool // the batch was folded, but its verdicts were not seen
-	abandoned bool // nobody waits any more
+	lost      bool // the batch was folded, but its verdicts are not known
+	abandoned bool // the caller no longer waits
 	sent      bool
 }
 
-// writer holds the proposals on their way; Ledger.mu guards it.
+// writer holds the pending proposals; Ledger.mu guards it.
 type writer struct {
 	queue    []*waiting
 	queued   int // records
 	flight   []*waiting
 	sequence uint64        // of the batch in flight, or of the last one
-	settled  chan struct{} // closed once the batch in flight is decided; nil without one
-	awake    chan struct{} // closed when the queue grows; nil until somebody waits
+	settled  chan struct{} // closed once the batch in flight is decided; nil if there is none
+	wakeUp   chan struct{} // closed when the queue grows; nil without a waiting goroutine
 }
 
-// decide hands the verdicts of a batch to the proposals in it.
+// decide passes the verdicts of a batch to its proposals.
 func (w *writer) decide(sequence uint64, verdicts []state.Verdict) {
 	if w.settled == nil || sequence != w.sequence {
 		return
@@ -76,7 +76,7 @@
 	w.endFlight()
 }
 
-// skipTo gives up on the verdicts of a batch that was folded out of sight.
+// skipTo gives up on the verdicts of a batch that was folded before this process read it.
 func (w *writer) skipTo(sequence uint64) {
 	if w.settled == nil || sequence < w.sequence {
 		return
@@ -96,7 +96,7 @@
 	close(p.done)
 }
 
-// run tells the late outcome without holding any lock.
+// run reports the late verdicts without holding a lock.
 func (p *waiting) run() { p.OnLateVerdicts(p.verdicts) }
 
 func (w *writer) endFlight() {
@@ -105,9 +105,9 @@
 	w.settled = nil
 }
 
-// Propose puts records on the log and returns the fold's verdict on each. An
-// error of kind LogUnavailable, Overloaded or Stopping means that nothing was
-// and will be proposed; OutcomeUnknown leaves it open.
+// Propose puts records on the log and returns the fold's verdict on each. An error of kind
+// LogUnavailable, Overloaded or Stopping means that nothing was or will be proposed; OutcomeUnknown
+// means that it may have been.
 func (l *Ledger) Propose(ctx context.Context, p Proposal) ([]state.Verdict, error) {
 	q, err := l.enqueue(p)
 	if err != nil {
@@ -121,7 +121,7 @@
 		}
 	}
 	if q.lost {
-		return nil, errkind.New(errkind.OutcomeUnknown, "the log has moved on before the verdict was read")
+		return nil, errkind.New(errkind.OutcomeUnknown, "the state has passed the batch before its verdict was read")
 	}
 	return q.verdicts, nil
 }
@@ -131,8 +131,8 @@
 	return l.ProposeNotify(ctx, r, nil)
 }
 
-// ProposeNotify is ProposeOne that tells, before the append, which batch the
-// record is in; sent may be nil and must not block.
+// ProposeNotify is ProposeOne with a callback: it calls sent before the append with the batch that
+// contains the record; sent may be nil and must not block.
 func (l *Ledger) ProposeNotify(ctx context.Context, r record.Record, sent func(state.Position)) error {
 	verdicts, err := l.Propose(ctx, Proposal{Records: []record.Record{r}, OnSend: sent})
 	if err != nil {
@@ -145,20 +145,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.writer.queued+len(p.Records) > maxBacklog {
-		return nil, errkind.New(errkind.Overloaded, "%d records wait for the log, the most allowed", maxBacklog)
+		return nil, errkind.New(errkind.Overloaded, "%d records are queued for the log, which is the maximum", maxBacklog)
 	}
 	q := &waiting{Proposal: p, done: make(chan struct{})}
 	l.writer.queue = append(l.writer.queue, q)
 	l.writer.queued += len(p.Records)
-	if l.writer.awake != nil {
-		close(l.writer.awake)
-		l.writer.awake = nil
+	if l.writer.wakeUp != nil {
+		close(l.writer.wakeUp)
+		l.writer.wakeUp = nil
 	}
 	return q, nil
 }
 
-// abandon stops waiting; it returns nil where the outcome became known at the
-// last moment.
+// abandon stops waiting. It returns nil if the outcome became known in the meantime.
 func (l *Ledger) abandon(q *waiting) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,7 +168,7 @@
 	}
 	q.abandoned = true
 	if q.sent {
-		return errkind.New(errkind.OutcomeUnknown, "the log has not answered in time")
+		return errkind.New(errkind.OutcomeUnknown, "the log did not respond in time")
 	}
 	for i, o := range l.writer.queue {
 		if o == q {
@@ -181,7 +180,7 @@
 	return errkind.New(errkind.LogUnavailable, "the log could not be written in time")
 }
 
-// Backlog returns how many records wait for the log.
+// Backlog returns how many records are queued for the log.
 func (l *Ledger) Backlog() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -196,20 +195,20 @@
 			l.mu.Unlock()
 			return true
 		}
-		if l.writer.awake == nil {
-			l.writer.awake = make(chan struct{})
+		if l.writer.wakeUp == nil {
+			l.writer.wakeUp = make(chan struct{})
 		}
-		awake := l.writer.awake
+		wakeUp := l.writer.wakeUp
 		l.mu.Unlock()
 		select {
-		case <-awake:
+		case <-wakeUp:
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// nextBatch takes proposals off the queue and puts them in flight.
+// nextBatch moves proposals from the queue into a new batch in flight.
 func (l *Ledger) nextBatch() (record.Batch, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -234,8 +233,8 @@
 	return b, w.settled
 }
 
-// tellSent says which batch the proposals in flight are in.
-func (l *Ledger) tellSent(b record.Batch) {
+// notifySent reports the batch that contains the proposals in flight.
+func (l *Ledger) notifySent(b record.Batch) {
 	l.mu.Lock()
 	flight := l.writer.flight
 	l.mu.Unlock()
@@ -246,7 +245,7 @@
 	}
 }
 
-// sizeOf estimates the bytes of records, of which few kinds are large.
+// sizeOf estimates the encoded size of records. Only a few kinds of records are large.
 func sizeOf(records []record.Record) int {
 	size := 0
 	for _, r := range records {
@@ -261,7 +260,7 @@
 	return size
 }
 
-// Join enters this process into the roster; it must be the first proposal.
+// Join adds this process to the membership; it must be the first proposal.
 func (l *Ledger) Join(ctx context.Context) error {
 	err := l.ProposeOne(ctx, record.Record{Join: &record.Join{Address: l.Address, DataCenter: l.DataCenter}})
 	if err != nil {
@@ -273,9 +272,9 @@
 	return nil
 }
 
-// Run reads and writes the log until the context ends.
+// Run reads and appends to the log until the context ends.
 func (l *Ledger) Run(ctx context.Context) {
-	a := appender{ledger: l, rate: appendsMost, pace: rate.NewLimiter(appendsMost, appendBurst)}
+	a := appender{ledger: l, rate: maxAppendRate, limiter: rate.NewLimiter(maxAppendRate, appendBurst)}
 	go a.run(ctx)
 	l.run(ctx)
 }
