--- a/services/leases/leases.go
+++ b/services/leases/leases.go
@@ -13,14 +13,16 @@
 	"github.com/yardbridge/yardbridge/modules/rendezvous"
 )
 
-// The times of the leases.
+// Times of the leases.
 const (
-	TTL         = 6 * time.Second
+	// TTL is the duration of a lease.
+	TTL = 6 * time.Second
+	// RenewPeriod is the time between two renewals of a lease.
 	RenewPeriod = 2 * time.Second
 )
 
-// Renewer renews the roles that this entry holds, and takes free ones that
-// rendezvous hashing over the live entries gives it.
+// Renewer renews the roles that this entry holds, and claims free ones that rendezvous hashing over
+// the live entries assigns to it.
 type Renewer struct {
 	Clock       clock.Clock
 	Name        string
@@ -30,7 +32,7 @@
 	Propose     func(ctx context.Context, records []record.Record) ([]state.Verdict, error)
 }
 
-// Run keeps the roles until the context ends.
+// Run renews and claims roles until the context ends.
 func (k *Renewer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		k.RenewDue(ctx)
@@ -41,8 +43,8 @@
 	}
 }
 
-// RenewDue proposes the leases that are due, in one append. Refusals are normal:
-// another entry was first.
+// RenewDue proposes the leases that are due, in one append. Refusals are normal: another entry was
+// first.
 func (k *Renewer) RenewDue(ctx context.Context) {
 	due := k.due()
 	if len(due) == 0 {
@@ -60,8 +62,8 @@
 	for _, role := range record.Roles() {
 		l, _ := s.Leases.Get(string(role))
 		held := l.Holder == k.Name && l.Incarnation == k.Incarnation
-		// The log's time stands still while nothing is appended, so a lease
-		// that is not renewed is judged by this process's clock as well.
+		// The log's time does not advance without appends, so the expiry of a lease that is not
+		// renewed is checked against this process's clock as well.
 		free := !l.Until.After(k.Clock.Now())
 		if held || free && rendezvous.Owner(string(role), alive) == k.Name {
 			due = append(due, record.Record{Lease: &record.Lease{Role: role, TTL: TTL}})
