--- a/services/port/feed.go
+++ b/services/port/feed.go
@@ -11,16 +11,16 @@
 	"github.com/yardbridge/yardbridge/models/worker"
 )
 
-// Feeds say where in the store the platform and its operators write, and read
-// what they write.
+// Feeds are the partitions that the platform and its operators write, and the decoders of their
+// records.
 type Feeds struct {
 	Operators Partition // configuration and waves
-	Workers   Partition // what each worker says of itself, under its name
-	// DecodeConfig returns nil for a record that is no configuration.
+	Workers   Partition // each worker's own status, under its name
+	// DecodeConfig returns nil for a record that is not a configuration.
 	DecodeConfig func(Record) (*config.Config, error)
-	// DecodeWave returns false for a record that is no wave.
+	// DecodeWave returns false for a record that is not a wave.
 	DecodeWave   func(Record) (wave.Wave, bool, error)
 	DecodeWorker func(Record) (worker.Worker, error)
-	// ReportWave tells the operators that a wave runs or is done.
+	// ReportWave reports to the operators that a wave is running or done.
 	ReportWave func(ctx context.Context, s Store, number int, done bool) error
 }
--- a/services/port/worker.go
+++ b/services/port/worker.go
@@ -10,25 +10,25 @@
 	"github.com/yardbridge/yardbridge/models/worker"
 )
 
-// Start is an order to begin a run.
+// Start is an order to start a run.
 type Start struct {
 	Task       string
 	Number     int
 	Spec       string
 	Checkpoint string
 	Ticket     string
-	Deadline   time.Duration // on the worker's clock: after it the order is refused, and until it what runs there is kept alive
+	Deadline   time.Duration // on the worker's clock: after it the order is refused, and until it the runs there are kept alive
 	Token      uint64
 }
 
-// Stop is an order to end a run.
+// Stop is an order to stop a run.
 type Stop struct {
 	Task   string
 	Number int
 	Token  uint64
 }
 
-// CPUShare is an order to let a run work at a share of its speed.
+// CPUShare is an order to run at a share of the full CPU speed.
 type CPUShare struct {
 	Task    string
 	Number  int
@@ -36,39 +36,39 @@
 	Token   uint64
 }
 
-// Poll asks what a worker runs and what has ended there.
+// Poll queries what a worker runs and which runs have ended there.
 type Poll struct {
-	Deadline     time.Duration // of all that runs there, on the worker's clock; 0 leaves it
+	Deadline     time.Duration // of all runs there, on the worker's clock; 0 leaves it unchanged
 	Token        uint64
 	Acknowledged int           // ends up to this sequence number may be forgotten
-	Wait         time.Duration // for an end
+	Wait         time.Duration // maximum time to wait for an end
 }
 
-// Result is a worker's answer to an order.
+// Result is how a worker handled an order.
 type Result string
 
-// The verdicts of a worker.
+// Results of orders.
 const (
 	Accepted         Result = "taken"     // done, now or before
-	TokenTooLow      Result = "too-low"   // a higher token has been seen: nothing done
-	Outdated         Result = "outdated"  // this run or a later one is over there: nothing done
-	DeadlinePassed   Result = "late"      // the deadline has passed: nothing done
-	NoCapacity       Result = "no-room"   // nothing done
-	BadTicket        Result = "ticket"    // nothing done
-	Refused          Result = "refused"   // the worker is not well or the order is wrong: nothing done
-	OtherIncarnation Result = "other"     // the worker's life is over
-	Unknown          Result = "unknown"   // no answer: it may be done, now or later
-	Unreachable      Result = "unreached" // no channel was had: nothing done
+	TokenTooLow      Result = "too-low"   // nothing done: a higher token has been seen
+	Outdated         Result = "outdated"  // nothing done: this run or a later one has ended there
+	DeadlinePassed   Result = "late"      // nothing done: the deadline has passed
+	NoCapacity       Result = "no-room"   // nothing done: no free capacity
+	BadTicket        Result = "ticket"    // nothing done: the ticket is not valid
+	Refused          Result = "refused"   // nothing done: the worker is unhealthy or the order is invalid
+	OtherIncarnation Result = "other"     // the worker's incarnation has ended
+	Unknown          Result = "unknown"   // no response: it may be done, now or later
+	Unreachable      Result = "unreached" // nothing done: no connection was available
 )
 
-// Response is what came back on an order.
+// Response is the response to an order.
 type Response struct {
 	Result Result
-	Clock  time.Duration // of the worker, 0 where the answer does not tell
-	Err    error         // of the channel, for the logs
+	Clock  time.Duration // the worker's clock, 0 if the response does not contain it
+	Err    error         // of the connection, for the logs
 }
 
-// Link carries orders and looks to one worker, each over a channel of its own.
+// Link sends orders and polls to one worker, each over its own connection.
 type Link struct {
 	Start       func(ctx context.Context, s Start) Response
 	Stop        func(ctx context.Context, s Stop) Response
@@ -79,6 +79,6 @@
 
 // Workers are the platform's workers.
 type Workers struct {
-	// Open returns a link to a worker; nothing is sent until an order is.
+	// Open returns a link to a worker without sending anything.
 	Open func(w worker.Worker) *Link
 }
