--- a/services/owner/link.go
+++ b/services/owner/link.go
@@ -12,8 +12,8 @@
 	"github.com/yardbridge/yardbridge/services/scheduler"
 )
 
-// link sends orders and polls to one worker, each over its own channel. While an order waits long
-// for its response, the orders behind it go over other channels.
+// link sends orders and polls to one worker, each over its own connection. While an order waits long
+// for its response, the orders behind it go over other connections.
 type link struct {
 	owner   *Owner
 	id      worker.ID
@@ -24,7 +24,7 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 
-	helpers int // goroutines that send orders over extra channels; guarded by the owner's lock
+	helpers int // goroutines that send orders over extra connections; guarded by the owner's lock
 }
 
 // Bounds of the helpers that send the orders waiting behind one without a response. Workers respond
@@ -101,7 +101,7 @@
 	return true
 }
 
-// help starts a helper that sends the waiting orders over another channel.
+// help starts a helper that sends the waiting orders over another connection.
 func (l *link) help() {
 	o := l.owner
 	o.mu.Lock()
@@ -114,7 +114,7 @@
 	go helper{l}.run()
 }
 
-// helper sends the orders of a link over another channel.
+// helper sends the orders of a link over another connection.
 type helper struct{ link *link }
 
 // run sends orders while there are any.
