--- a/services/fleet/need.go
+++ b/services/fleet/need.go
@@ -20,7 +20,7 @@
 	hard        int            // instances needed for the current load
 	need        int            // hard plus spare instances
 	level       int            // the need, kept for a while after a peak
-	peak        time.Time      // when the need last reached the level
+	peakAt      time.Time      // when the need last reached the level
 	logged      [2]int         // need and supply in the last log message
 	loggedLacks map[string]int // instances lacked by label in the last log message
 }
@@ -80,15 +80,15 @@
 // does not know the arrival rate: the pool's instances are kept as after a peak.
 func (p *poolState) follow(hard, n, has int, now time.Time) {
 	p.hard, p.need = hard, n
-	if p.peak.IsZero() {
-		p.level, p.peak = max(n, has), now
+	if p.peakAt.IsZero() {
+		p.level, p.peakAt = max(n, has), now
 	}
 	if n >= p.level {
-		p.level, p.peak = n, now
+		p.level, p.peakAt = n, now
 		return
 	}
-	if now.Sub(p.peak) > keepLevel {
-		p.level, p.peak = n, now
+	if now.Sub(p.peakAt) > keepLevel {
+		p.level, p.peakAt = n, now
 	}
 }
 
--- a/services/fleet/plan.go
+++ b/services/fleet/plan.go
@@ -95,11 +95,11 @@
 func (v *view) fill(need func(*poolState) int) []*action {
 	var began []*action
 	for {
-		pool, lack := v.neediest(need)
+		pool, lack := v.largestLack(need)
 		if lack <= 0 {
 			return began
 		}
-		i, found := v.donor(pool, "", need)
+		i, found := v.findSource(pool, "", need)
 		if !found {
 			return began
 		}
@@ -115,7 +115,7 @@
 	for pool, p := range v.pools {
 		for label := range p.report.Labels {
 			for range v.lackLabel(pool, label) {
-				i, found := v.donor(pool, label, (*poolState).hardNeed)
+				i, found := v.findSource(pool, label, (*poolState).hardNeed)
 				if !found {
 					break
 				}
@@ -153,8 +153,8 @@
 	return true
 }
 
-// neediest returns the pool that lacks the most instances, and how many.
-func (v *view) neediest(need func(*poolState) int) (string, int) {
+// largestLack returns the pool that lacks the most instances, and how many.
+func (v *view) largestLack(need func(*poolState) int) (string, int) {
 	best, most := "", 0
 	for pool, p := range v.pools {
 		lack := need(p) + v.swaps(pool) - v.supply(pool)
@@ -168,9 +168,9 @@
 // has reports whether an instance has a label.
 func has(i port.Instance, label string) bool { return slices.Contains(i.Labels, label) }
 
-// donor returns the instance to move to a pool, with a label unless that is "": an instance that is
-// off, otherwise one that another pool does not need now.
-func (v *view) donor(pool, label string, need func(*poolState) int) (port.Instance, bool) {
+// findSource returns the instance to move to a pool, with a label unless that is "": an instance
+// that is off, otherwise one that another pool does not need now.
+func (v *view) findSource(pool, label string, need func(*poolState) int) (port.Instance, bool) {
 	var best port.Instance
 	found := false
 	for _, i := range v.counts.free[v.headroom] {
--- a/services/fleet/surge_test.go
+++ b/services/fleet/surge_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// climb is the need of a pool in a surge, in instances, by the time since its beginning: demand
+// surgeNeeds is the need of a pool in a surge, in instances, by the time since its beginning: demand
 // rises to a hundred times the previous load, as it is learned from the arriving jobs.
-var climb = []struct {
+var surgeNeeds = []struct {
 	after time.Duration
 	need  float64
 	rises bool
@@ -22,8 +22,8 @@
 	{5 * time.Second, 300, false}, {8 * time.Second, 280, false}, {9 * time.Second, 60, false}, {10 * time.Second, 4, false}, {11 * time.Second, 3, false},
 }
 
-// calmDown simulates a period of little need.
-func (r *surge) calmDown(now time.Time) time.Time {
+// calmPeriod simulates a period of little need.
+func (r *surge) calmPeriod(now time.Time) time.Time {
 	for range 100 {
 		now = now.Add(120 * time.Millisecond)
 		r.follow(3, 3, false, now)
@@ -33,10 +33,10 @@
 
 // surgeOnce simulates one surge and returns when it is finished.
 func (r *surge) surgeOnce(now time.Time) time.Time {
-	for _, c := range climb {
+	for _, c := range surgeNeeds {
 		r.follow(c.need, min(c.need, 250), c.rises, now.Add(c.after))
 	}
-	return now.Add(climb[len(climb)-1].after)
+	return now.Add(surgeNeeds[len(surgeNeeds)-1].after)
 }
 
 // TestSecondSurgeIsExpected guards against a slow reaction to recurring demand: a pool whose surge
@@ -44,9 +44,9 @@
 // 3 s later.
 func TestSecondSurgeIsExpected(t *testing.T) {
 	var r surge
-	now := r.surgeOnce(r.calmDown(time.Unix(1000, 0)))
+	now := r.surgeOnce(r.calmPeriod(time.Unix(1000, 0)))
 	assert.Equal(t, r.last, 303.0)
-	now = r.calmDown(now)
+	now = r.calmPeriod(now)
 	assert.Equal(t, r.expects(0, 0, now), 0.0)
 	r.follow(28, 28, true, now)
 	assert.Equal(t, r.expects(0, 0, now), 303.0)
@@ -54,12 +54,12 @@
 }
 
 // TestFirstSurgeIsExpectedLikeTheOthers guards against a slow reaction to a first surge: a pool
-// without an earlier surge is expected to climb like the surges of the others, but not higher.
+// without an earlier surge is expected to grow like the surges of the others, but not higher.
 func TestFirstSurgeIsExpectedLikeTheOthers(t *testing.T) {
 	v := &view{now: time.Unix(1000, 0), pools: map[string]*poolState{"a": {}, "b": {}, "c": {}}, counts: &counts{}}
 	a, b := &v.pools["a"].surge, &v.pools["b"].surge
-	now := a.surgeOnce(a.calmDown(v.now))
-	b.calmDown(now)
+	now := a.surgeOnce(a.calmPeriod(v.now))
+	b.calmPeriod(now)
 	b.follow(20, 20, true, now)
 	v.now = now
 	v.expect()
@@ -72,7 +72,7 @@
 // surge.
 func TestSmallRiseIsNoSurge(t *testing.T) {
 	var r surge
-	now := r.calmDown(time.Unix(1000, 0))
+	now := r.calmPeriod(time.Unix(1000, 0))
 	r.follow(5, 5, true, now)
 	r.follow(5, 4, false, now.Add(time.Second))
 	r.follow(2, 2, false, now.Add(5*time.Second))
