--- a/services/lending/lend.go
+++ b/services/lending/lend.go
@@ -79,7 +79,7 @@
 func (p *plan) sum(customer string, limit job.Size) job.Size {
 	var sum job.Size
 	for _, b := range p.l.states {
-		sum = sum.Plus(b.most(customer, limit))
+		sum = sum.Plus(b.boundFor(customer, limit))
 	}
 	return sum
 }
@@ -113,7 +113,7 @@
 	if times > 1 {
 		wants = wants.Max(limit.Scale(b.sent.DefaultFraction)) // if enough is free, every pool gets at least its default part
 	}
-	return wants.Min(limit).Minus(b.most(customer, limit)).Max(job.Size{})
+	return wants.Min(limit).Minus(b.boundFor(customer, limit)).Max(job.Size{})
 }
 
 // lendFree lends each pool what it lacks, plus its part of the headroom. The pools together lack no
@@ -128,7 +128,7 @@
 		}
 		lacks := p.lacksOf(b, customer, limit, 1)
 		more := p.lacksOf(b, customer, limit, headroom).Minus(lacks)
-		p.raise(b, customer, limit, b.most(customer, limit).Plus(lacks).Plus(part(more, sum, spare)))
+		p.raise(b, customer, limit, b.boundFor(customer, limit).Plus(lacks).Plus(part(more, sum, spare)))
 	}
 }
 
@@ -152,7 +152,7 @@
 	if has := b.sent.For(customer, limit); !changesMuch(size, has, limit) && (size == has || !b.waitsFor(customer, limit)) {
 		return
 	}
-	b.bound = b.bound.With(customer, b.most(customer, limit).Max(size))
+	b.bound = b.bound.With(customer, b.boundFor(customer, limit).Max(size))
 	p.send(b, b.sent.With(customer, size))
 	p.log(customer, limit, b, "lent")
 }
@@ -201,7 +201,7 @@
 		if !b.follows(p.config.Version) || a.Paused {
 			continue
 		}
-		share, has, most := shares[i], b.sent.For(customer, limit), b.most(customer, limit)
+		share, has, most := shares[i], b.sent.For(customer, limit), b.boundFor(customer, limit)
 		grows := share.Minus(most).Max(job.Size{}).Min(free)
 		next := share.Min(most.Plus(grows))
 		if idle := quota.Within(a.Demand.Times(quota.ReportFactor), has, limit); !mayLower && !idle {
@@ -232,7 +232,7 @@
 	var lacks job.Size
 	for i, name := range p.names {
 		if b := p.l.states[name]; b.follows(p.config.Version) {
-			lacks = lacks.Plus(shares[i].Min(limit).Minus(b.most(customer, limit)).Max(job.Size{}))
+			lacks = lacks.Plus(shares[i].Min(limit).Minus(b.boundFor(customer, limit)).Max(job.Size{}))
 		}
 	}
 	return !quota.Within(lacks, free, limit)
@@ -263,7 +263,7 @@
 			wants[i] = a.Demand.Max(limit.Scale(b.sent.DefaultFraction * reservePart))
 			continue
 		}
-		left = left.Minus(b.most(customer, limit))
+		left = left.Minus(b.boundFor(customer, limit))
 	}
 	return p.shareWholeTasks(customer, limit, left, wants)
 }
@@ -329,11 +329,11 @@
 // compare orders claimants for the remaining capacity: first those that can't start anything, by
 // how long something has waited there, then those that run more already, so that little is moved.
 func (c claimant) compare(o claimant, shares []job.Size) int {
-	return cmp.Or(cmp.Compare(c.turn(shares), o.turn(shares)), cmp.Compare(o.account.WaitTime, c.account.WaitTime))
+	return cmp.Or(cmp.Compare(c.rank(shares), o.rank(shares)), cmp.Compare(o.account.WaitTime, c.account.WaitTime))
 }
 
-// turn returns the claimant's rank among the others, lower for earlier.
-func (c claimant) turn(shares []job.Size) int {
+// rank returns the claimant's rank among the others, lower for earlier.
+func (c claimant) rank(shares []job.Size) int {
 	switch share := shares[c.index]; {
 	case share == job.Size{}:
 		return 0
--- a/services/lending/lender.go
+++ b/services/lending/lender.go
@@ -172,7 +172,7 @@
 	return b.reported && b.report.ConfigVersion == version
 }
 
-// most returns the most that a pool may be using of a customer's limit.
-func (b *poolState) most(customer string, limit job.Size) job.Size {
+// boundFor returns the most that a pool may be using of a customer's limit.
+func (b *poolState) boundFor(customer string, limit job.Size) job.Size {
 	return b.bound.For(customer, limit)
 }
--- a/services/lending/plan.go
+++ b/services/lending/plan.go
@@ -120,7 +120,7 @@
 		if !quota.HasLimit(c.Limit) || quota.Within(c.Limit.Scale(more), p.free(c.Name, c.Limit), c.Limit) {
 			continue
 		}
-		b.bound = b.bound.With(c.Name, b.most(c.Name, c.Limit))
+		b.bound = b.bound.With(c.Name, b.boundFor(c.Name, c.Limit))
 		b.sent = b.sent.With(c.Name, b.sent.For(c.Name, c.Limit))
 	}
 }
@@ -172,7 +172,7 @@
 		a, reported := b.account(customer)
 		used[name] = a.Used
 		if !reported || !a.Paused {
-			used[name] = b.most(customer, limit).Max(a.Used)
+			used[name] = b.boundFor(customer, limit).Max(a.Used)
 		}
 		keeps[name] = used[name].Max(limit.Scale(min(b.sent.DefaultFraction, b.bound.DefaultFraction)))
 		allUsed, allKept = allUsed.Plus(used[name]), allKept.Plus(keeps[name])
