--- a/services/owner/overload_test.go
+++ b/services/owner/overload_test.go
@@ -162,14 +162,14 @@
 // customers with equal shares, one submits 100 times its share. The other four together use less
 // than their shares and are served as if the fifth were absent; it gets the remaining capacity.
 func TestFloodDoesNotAffectOtherCustomers(t *testing.T) {
-	calm := map[string]int{"a": 1, "b": 1, "c": 1, "d": 1}
+	typical := map[string]int{"a": 1, "b": 1, "c": 1, "d": 1}
 	customers := []config.Customer{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}, {Name: "flood"}}
 	synctest.Test(t, func(t *testing.T) {
-		flooded := maps.Clone(calm)
+		flooded := maps.Clone(typical)
 		flooded["flood"] = floodTimes
 		with := serveLoad(t, flooded, customers...)
 		t.Logf("%+v", with)
-		for customer := range calm {
+		for customer := range typical {
 			assert.Equal(t, with[customer].accepted, 1.0, customer)
 			assert.Assert(t, with[customer].inTime > 0.95, "%s: %.2f", customer, with[customer].inTime)
 		}
--- a/services/owner/owner.go
+++ b/services/owner/owner.go
@@ -53,7 +53,7 @@
 func (o *Owner) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	o.adopt(ctx)
+	o.linkKnownWorkers(ctx)
 	o.tasks.Go(func() { o.runAdvice(ctx) })
 	err := o.commitLoop(ctx)
 	o.finish(err)
@@ -198,8 +198,8 @@
 	}
 }
 
-// adopt opens links to the workers that an earlier owner used.
-func (o *Owner) adopt(ctx context.Context) {
+// linkKnownWorkers opens links to the workers that an earlier owner used.
+func (o *Owner) linkKnownWorkers(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, id := range o.pool.Workers() {
