--- a/services/ownership/claim.go
+++ b/services/ownership/claim.go
@@ -25,17 +25,17 @@
 	}
 	s.claiming[pool] = true
 	s.tasks.Add(1)
-	go tenure{s, pool}.run(s.running)
+	go claimTask{s, pool}.run(s.running)
 }
 
-// tenure is the ownership of one pool by this node, from the claim to the end.
-type tenure struct {
+// claimTask claims one pool and runs its role until the ownership ends.
+type claimTask struct {
 	s    *Manager
 	pool string
 }
 
 // run claims the pool and serves it until it is no longer owned.
-func (t tenure) run(ctx context.Context) {
+func (t claimTask) run(ctx context.Context) {
 	defer t.s.tasks.Done()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -61,7 +61,7 @@
 }
 
 // claim claims the pool and publishes the ownership to all nodes.
-func (t tenure) claim(ctx context.Context) (*RoleRunner, error) {
+func (t claimTask) claim(ctx context.Context) (*RoleRunner, error) {
 	self := t.s.Directory.Self
 	slot, err := t.s.Directory.AssignSlot(ctx, t.pool, t.s.Roles(t.s.Config()))
 	if err != nil {
--- a/services/ownership/hand_over.go
+++ b/services/ownership/hand_over.go
@@ -13,38 +13,38 @@
 	"github.com/yardbridge/yardbridge/services/directory"
 )
 
-// relieveAfter is how long an append may be in progress before another node is asked to take over:
+// stuckAfter is how long an append may be in progress before another node is asked to take over:
 // the store may refuse this node and serve the others. It usually responds in 4 ms, and takes up to
 // 60 times as long when it is slow.
-const relieveAfter = 700 * time.Millisecond
+const stuckAfter = 700 * time.Millisecond
 
-// relieveStuck hands over the roles whose appends get no response from the store, each once and all
+// handOverStuck hands over the roles whose appends get no response from the store, each once and all
 // at the same time: their owner rejects what it can't persist.
-func (s *Manager) relieveStuck(ctx context.Context, v *directory.View) {
+func (s *Manager) handOverStuck(ctx context.Context, v *directory.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var stuck []string
 	for _, role := range slices.Sorted(maps.Keys(s.owned)) {
-		if t := s.owned[role]; !t.handingOver && t.Stuck(relieveAfter) {
+		if t := s.owned[role]; !t.handingOver && t.Stuck(stuckAfter) {
 			t.handingOver = true
 			stuck = append(stuck, role)
 		}
 	}
 	if len(stuck) > 0 {
 		s.tasks.Add(1)
-		go reliefTask{s, v, stuck}.run(ctx)
+		go handOverTask{s, v, stuck}.run(ctx)
 	}
 }
 
-// reliefTask hands over stuck roles.
-type reliefTask struct {
+// handOverTask hands over stuck roles.
+type handOverTask struct {
 	s     *Manager
 	v     *directory.View
 	roles []string
 }
 
 // run hands over the roles.
-func (r reliefTask) run(ctx context.Context) {
+func (r handOverTask) run(ctx context.Context) {
 	defer r.s.tasks.Done()
 	r.s.handOverAll(ctx, r.v, r.roles)
 }
@@ -95,7 +95,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.owned[role]
-	return t == nil || !s.leaving && !t.Stuck(relieveAfter)
+	return t == nil || !s.leaving && !t.Stuck(stuckAfter)
 }
 
 // takeOverTimeout bounds the request to one node to take a pool over.
--- a/services/ownership/manager.go
+++ b/services/ownership/manager.go
@@ -103,7 +103,7 @@
 		return
 	}
 	s.endReplaced(v)
-	s.relieveStuck(ctx, v)
+	s.handOverStuck(ctx, v)
 	s.improve(ctx, v)
 	pools := s.unownedPools(c, v)
 	successors := rankSuccessors(v, pools)
@@ -112,12 +112,12 @@
 		if !known && !settled {
 			continue
 		}
-		turn := slices.Index(successors[pool], s.Directory.Self.Name)
+		rank := slices.Index(successors[pool], s.Directory.Self.Name)
 		switch {
-		case turn >= 0 && s.unownedFor(pool) >= time.Duration(turn)*successorTurn:
+		case rank >= 0 && s.unownedFor(pool) >= time.Duration(rank)*successorTurn:
 			s.claim(pool)
-		case turn > 0 && turn <= probesAtOnce:
-			s.probePreceding(ctx, v, pool, successors[pool][:turn])
+		case rank > 0 && rank <= probesAtOnce:
+			s.probePreceding(ctx, v, pool, successors[pool][:rank])
 		}
 	}
 }
