--- a/services/ledger/writer.go
+++ b/services/ledger/writer.go
@@ -177,7 +177,7 @@
 			break
 		}
 	}
-	return errkind.New(errkind.LogUnavailable, "the log could not be written in time")
+	return errkind.New(errkind.LogUnavailable, "the log did not accept the records in time; nothing was proposed")
 }
 
 // Backlog returns how many records are queued for the log.
