--- a/services/fleet/manager.go
+++ b/services/fleet/manager.go
@@ -162,9 +162,9 @@
 		m.view.waves = append(m.view.waves, w)
 	}
 	for name, i := range m.orders {
-		if !i.Known {
+		if !i.OutcomeKnown {
 			m.view.actions[name] = &action{
-				instance: name, worker: i.Worker, startedAt: i.Born, from: i.From, to: i.To, wave: i.Wave, stage: ordered,
+				instance: name, worker: i.Worker, startedAt: i.StartedAt, from: i.From, to: i.To, wave: i.Wave, stage: ordered,
 				began: m.Clock.FromWallTime(time.UnixMilli(i.At)), sent: m.Clock.FromWallTime(time.UnixMilli(i.At)),
 			}
 		}
--- a/services/fleet/order.go
+++ b/services/fleet/order.go
@@ -19,14 +19,14 @@
 
 // intent is the record of an order that is about to be sent.
 type intent struct {
-	Instance string    `cbor:"1,keyasint"`
-	Worker   worker.ID `cbor:"2,keyasint"`
-	To       string    `cbor:"3,keyasint"`
-	Wave     int       `cbor:"4,keyasint"`
-	At       int64     `cbor:"5,keyasint"` // start of its time limits, in milliseconds since 1970
-	Known    bool      `cbor:"6,keyasint"` // its outcome is known
-	From     string    `cbor:"7,keyasint"`
-	Born     int64     `cbor:"8,keyasint,omitempty"`
+	Instance     string    `cbor:"1,keyasint"`
+	Worker       worker.ID `cbor:"2,keyasint"`
+	To           string    `cbor:"3,keyasint"`
+	Wave         int       `cbor:"4,keyasint"`
+	At           int64     `cbor:"5,keyasint"` // start of its time limits, in milliseconds since 1970
+	OutcomeKnown bool      `cbor:"6,keyasint"` // the order's outcome is known
+	From         string    `cbor:"7,keyasint"`
+	StartedAt    int64     `cbor:"8,keyasint,omitempty"`
 }
 
 // ended reports whether the list shows that the incarnation for which an order was sent has ended.
@@ -67,7 +67,7 @@
 		return 0
 	}
 	least := m.Limits.HolderLease + clockSkew + intentAge
-	if !i.Known {
+	if !i.OutcomeKnown {
 		least = max(least, unsettled)
 	}
 	return least - m.Clock.Now().Sub(m.Clock.FromWallTime(time.UnixMilli(i.At)))
@@ -123,7 +123,7 @@
 // now.
 func (m *Manager) intent(a *action, known bool, ahead time.Duration) (port.Record, error) {
 	value, err := codec.Marshal(intent{
-		Instance: a.instance, Worker: a.worker, To: a.to, Wave: a.wave, At: m.Clock.WallTime(m.Clock.Now().Add(ahead)).UnixMilli(), Known: known, From: a.from, Born: a.startedAt,
+		Instance: a.instance, Worker: a.worker, To: a.to, Wave: a.wave, At: m.Clock.WallTime(m.Clock.Now().Add(ahead)).UnixMilli(), OutcomeKnown: known, From: a.from, StartedAt: a.startedAt,
 	})
 	return port.Record{Key: keyIntent + a.instance, Value: value}, err
 }
