--- /dev/null
+++ b/services/fleet/surge.go
@@ -0,0 +1,107 @@
+// Copyright 2026 The yardbridge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package fleet
+
+import (
+	"math"
+	"time"
+)
+
+// A surge shows its demand only while it grows, over about three seconds, and each instance arrives
+// two seconds after it is requested. Recurring demand reaches a similar peak each time. So once a
+// rise is confirmed, a pool gets at once as many instances as its last surge needed. A pool without
+// an earlier surge gets its previous need multiplied by the growth of the other pools' surges.
+
+const (
+	// expectFor is how long the expected need counts after a rise is confirmed. Without the demand
+	// by then the rise was no such surge.
+	expectFor = 3 * time.Second
+	// baselineSpan is the time constant for averaging the load between surges.
+	baselineSpan = 6 * time.Second
+	// endPart is the fraction of its highest need below which a surge is finished.
+	endPart = 0.4
+	// surgeTimes is the minimum ratio of a pool's highest need to its previous need that counts as
+	// a surge.
+	surgeTimes = 2.0
+)
+
+// surge tracks the surges of a pool. Needs are in instances.
+type surge struct {
+	baseline  float64   // average load between surges
+	peak      float64   // highest need of the current surge, 0 for none
+	last      float64   // highest need of the last surge, 0 before the first
+	growth    float64   // last divided by the need before it
+	began     time.Time // when the current rise was confirmed, zero for none
+	updatedAt time.Time // time of the last update
+}
+
+// follow updates the surge with a pool's need, its arrival rate in instances and whether its need
+// rises for certain.
+func (r *surge) follow(need, arrivals float64, rising bool, now time.Time) {
+	step := now.Sub(r.updatedAt).Seconds()
+	if r.updatedAt.IsZero() {
+		step, r.baseline = 0, arrivals
+	}
+	r.updatedAt = now
+	switch {
+	case rising && r.began.IsZero():
+		r.began, r.peak = now, need
+	case r.began.IsZero():
+		r.baseline += (arrivals - r.baseline) * (1 - math.Exp(-step/baselineSpan.Seconds()))
+		return
+	}
+	r.peak = max(r.peak, need)
+	if rising || need > endPart*r.peak || now.Sub(r.began) < expectFor {
+		return
+	}
+	if r.peak > surgeTimes*max(r.baseline, 1) {
+		r.last, r.growth = r.peak, r.peak/max(r.baseline, minBaseline)
+	}
+	r.began, r.peak = time.Time{}, 0
+}
+
+// minBaseline replaces a load between surges that is close to zero.
+const minBaseline = 0.5
+
+// expects returns the expected need of a pool, 0 for no expectation.
+func (r *surge) expects(growth, limit float64, now time.Time) float64 {
+	switch {
+	case r.began.IsZero() || now.Sub(r.began) > expectFor:
+		return 0
+	case r.last > 0:
+		return r.last
+	}
+	return min(max(r.baseline, minBaseline)*growth, limit)
+}
+
+// expect computes the expected need of the pools with a confirmed rise.
+func (v *view) expect() {
+	for name, p := range v.pools {
+		p.expected = 0
+		if p.surge.began.IsZero() {
+			continue
+		}
+		growth, limit := v.minGrowth(name)
+		if e := p.surge.expects(growth, limit, v.now); e > 0 {
+			p.expected = int(math.Ceil(e + shareOf(p.report.Lasting, v.smallest())*spareShare))
+		}
+	}
+}
+
+// minGrowth returns the smallest growth of the other pools' surges and the smallest peak of them in
+// instances, which limits the expected need.
+func (v *view) minGrowth(pool string) (growth, limit float64) {
+	for name, p := range v.pools {
+		if name == pool || p.surge.last == 0 {
+			continue
+		}
+		if growth == 0 || p.surge.growth < growth {
+			growth = p.surge.growth
+		}
+		if limit == 0 || p.surge.last < limit {
+			limit = p.surge.last
+		}
+	}
+	return growth, limit
+}
