--- a/services/directory/directory.go
+++ b/services/directory/directory.go
@@ -29,8 +29,8 @@
 // Node is one process of yardbridge.
 type Node struct {
 	Name        string  `cbor:"1,keyasint"`
-	Address     string  `cbor:"2,keyasint"` // for other nodes
-	Incarnation uint64  `cbor:"3,keyasint"` // of the process; a later one of the name has a higher one
+	Address     string  `cbor:"2,keyasint"`             // for other nodes
+	Incarnation uint64  `cbor:"3,keyasint" json:"Life"` // of the process; a later one of the name has a higher one
 	Cores       float64 `cbor:"4,keyasint"`
 	DataCenter  string  `cbor:"5,keyasint"`
 	LinkMbps    float64 `cbor:"6,keyasint,omitempty"` // of its link, 0 for not stated
@@ -59,8 +59,8 @@
 	Pool        string `cbor:"1,keyasint"`
 	Slot        int    `cbor:"2,keyasint"`
 	Epoch       uint64 `cbor:"3,keyasint"`
-	Node        string `cbor:"4,keyasint"` // "" for none yet
-	Incarnation uint64 `cbor:"5,keyasint"` // of the node's process
+	Node        string `cbor:"4,keyasint"`             // "" for none yet
+	Incarnation uint64 `cbor:"5,keyasint" json:"Life"` // of the node's process
 }
 
 // View is the directory at one time; it never changes.
