--- /dev/null
+++ b/node/catch_up.go
@@ -0,0 +1,131 @@
+// Copyright 2026 The yardbridge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package node
+
+import (
+	"context"
+	"time"
+
+	"github.com/yardbridge/yardbridge/models/config"
+	"github.com/yardbridge/yardbridge/services/directory"
+	"github.com/yardbridge/yardbridge/services/port"
+)
+
+// The store may refuse one node and serve the others. Such a node learns what it misses from the
+// nodes that it probes.
+
+// probeResponse is a node's response to a probe: its incarnation, and how far it has read.
+type probeResponse struct {
+	Incarnation uint64 `json:"life"`
+	Version     uint64 `json:"version,omitempty"` // of its configuration
+	End         uint64 `json:"end,omitempty"`     // offset up to which it has read the directory
+}
+
+// nodeState is what a node knows that others may have missed.
+type nodeState struct {
+	Config    *config.Config  `json:"config"`    // as parsed: it holds hashes of the customers' keys only
+	Operators []port.Record   `json:"operators"` // other records of the operators
+	Directory *directory.View `json:"directory"`
+}
+
+func (n *Node) onProbe(context.Context, empty) (any, error) {
+	a := probeResponse{Incarnation: n.Directory.Self.Incarnation}
+	if c := n.Gateway.Config(); c != nil {
+		a.Version = c.Version
+	}
+	if v, _ := n.Directory.View(); v != nil {
+		a.End = v.End
+	}
+	return a, nil
+}
+
+func (n *Node) onCatchUp(context.Context, empty) (any, error) {
+	v, _ := n.Directory.View()
+	a := nodeState{Config: n.Gateway.Config(), Directory: v}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, r := range n.operatorRecords {
+		a.Operators = append(a.Operators, r)
+	}
+	return a, nil
+}
+
+// probe checks whether a node is up, and returns its incarnation.
+func (n *Node) probe(ctx context.Context, o directory.Node) (uint64, error) {
+	var a probeResponse
+	if err := n.probes.Call(ctx, o.Address, methodProbe, empty{}, &a); err != nil {
+		return 0, err
+	}
+	n.lastProbeResponse.Store(n.Clock.Now().UnixNano())
+	if n.behind(a) && n.catchingUp.CompareAndSwap(false, true) {
+		go catchUp{n, o}.run(context.WithoutCancel(ctx))
+	}
+	return a.Incarnation, nil
+}
+
+// isolated reports whether there are other nodes and none has responded to a probe for a while. Two
+// are probed every 250 ms.
+func (n *Node) isolated() bool {
+	v, _ := n.Directory.View()
+	return v != nil && len(v.Nodes) > 1 && n.Clock.Now().Sub(time.Unix(0, n.lastProbeResponse.Load())) > isolatedAfter
+}
+
+// isolatedAfter is how long no other node may have responded until this one counts as isolated.
+const isolatedAfter = time.Second
+
+// staleAfter is how old this node's own reading must be before other nodes are queried: two
+// readings of the store.
+const staleAfter = 2 * time.Second
+
+// behind reports whether another node has read further while this one does not reach the store.
+func (n *Node) behind(a probeResponse) bool {
+	if c := n.Gateway.Config(); c != nil && a.Version > c.Version && n.operatorFeed.Age() > staleAfter {
+		return true
+	}
+	v, _ := n.Directory.View()
+	return v != nil && a.End > v.End && n.Directory.Age() > staleAfter
+}
+
+// refreshAfter is how old this node's own reading of the directory must be for it to ask a node
+// that has handed a pool over for the new owner: a change of the directory is read within some
+// milliseconds.
+const refreshAfter = 100 * time.Millisecond
+
+// refreshFrom fetches the directory from a node that no longer owns a pool, in case the store does
+// not respond to this node.
+func (n *Node) refreshFrom(at directory.Node) {
+	if n.Directory.Age() > refreshAfter && n.catchingUp.CompareAndSwap(false, true) {
+		go catchUp{n, at}.run(context.Background())
+	}
+}
+
+// catchUpTimeout bounds a catch-up request.
+const catchUpTimeout = time.Second
+
+// catchUp is one request for what this node has missed.
+type catchUp struct {
+	n  *Node
+	at directory.Node
+}
+
+// run sends the request and applies the response.
+func (c catchUp) run(ctx context.Context) {
+	defer c.n.catchingUp.Store(false)
+	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
+	defer cancel()
+	var a nodeState
+	err := c.n.client.Call(ctx, c.at.Address, methodCatchUp, empty{}, &a)
+	c.n.Logger.Info().Str("event", "news").Str("from", c.at.Name).Int("records", len(a.Operators)).AnErr("err", err).
+		Dur("age", c.n.Directory.Age()).Msg("missed records were requested from another node")
+	if err != nil {
+		return
+	}
+	if a.Config != nil {
+		c.n.configure(config.New(a.Config.Version, a.Config.Queues, a.Config.Pools, a.Config.Limits).WithCustomers(a.Config.Customers))
+	}
+	c.n.applyOperators(a.Operators, false)
+	if a.Directory != nil {
+		c.n.Directory.Merge(a.Directory)
+	}
+}
--- a/node/dump.go
+++ b/node/dump.go
@@ -5,18 +5,18 @@
 
 import "github.com/yardbridge/yardbridge/services/scheduler"
 
-// Dump is what a node believes, for a person who looks for a cause.
+// Dump is the state of a node as the node sees it, for troubleshooting.
 type Dump struct {
 	Node    string                      `json:"node"`
 	Ready   bool                        `json:"ready"`
 	Version int64                       `json:"config_version"` // 0 before the first
 	Owners  map[string]string           `json:"owners"`         // node by pool
-	Owned   map[string]scheduler.Report `json:"owned"`          // of this node's pools, by name
+	Owned   map[string]scheduler.Report `json:"owned"`          // this node's pools, by name
 	Workers int                         `json:"workers"`        // listed by the platform
 	Waves   int                         `json:"waves"`
 }
 
-// Dump returns what the node believes.
+// Dump returns the current state of the node.
 func (n *Node) Dump() Dump {
 	d := Dump{
 		Node: n.Setting.Node.Name, Ready: n.Ready(), Version: n.ConfigVersion(),
--- a/node/limits.go
+++ b/node/limits.go
@@ -5,13 +5,13 @@
 
 import "time"
 
-// lease is how long what runs on a worker outlives its owner's last word: long
-// enough for another node to take the pool over, and short enough for what a
-// lost worker ran to begin elsewhere.
+// lease is how long what runs on a worker outlives the last message of its owner: long enough for
+// another node to take the pool over, and short enough for the runs of a lost worker to begin
+// elsewhere.
 const lease = 4 * time.Second
 
-// The pace of readings of the store.
+// The intervals between readings of the store.
 const (
-	operatorsWait = 700 * time.Millisecond // a reading waits for news so long; see the directory's
+	operatorsWait = 700 * time.Millisecond // how long a reading waits for new records; see the directory's
 	workersGap    = 250 * time.Millisecond // workers write every 1.5 s; what they write is read together
 )
--- a/node/node.go
+++ b/node/node.go
@@ -32,23 +32,24 @@
 	"github.com/yardbridge/yardbridge/services/scheduler"
 )
 
-// Ports are the outside systems that a node uses.
+// Ports are the external systems that a node uses.
 type Ports struct {
 	Store     port.Store
 	Feeds     port.Feeds
 	Workers   port.Workers
 	Instances port.Instances
 	Advisor   port.Advisor
-	// Listen and Dial connect nodes; nil does over TCP.
+	// Listen and Dial connect nodes; nil uses TCP.
 	Listen func(address string) (net.Listener, error)
 	Dial   func(ctx context.Context, address string) (net.Conn, error)
-	// OnUnresponsive is told of each connection to a node that was found silent; nil tells nobody.
+	// OnUnresponsive is called for each connection to a node that was found unresponsive; nil for
+	// no call.
 	OnUnresponsive func(address string, after time.Duration)
-	// Count adds one to a counter; nil counts nothing.
+	// Count increments a counter; nil counts nothing.
 	Count func(counter string)
 }
 
-// Node is one node; New makes it and Run brings it to life.
+// Node is one node; New creates it and Run starts it.
 type Node struct {
 	Setting   setting.Node // as at the start
 	Ports     Ports
@@ -58,31 +59,30 @@
 	Gateway   *gateway.Gateway
 	Ownership *ownership.Manager
 
-	hurry   chan struct{} // the list of workers is needed now
-	monitor *monitor.Monitor
-	client  *noderpc.Client
-	probes  *noderpc.Client // of its own, so that no call holds up a probe
-	server  *noderpc.Server
-
-	operatorFeed follow.Follower
-	unread       sync.Map     // names of entries among the workers that were told as unreadable
-	catching     atomic.Bool  // another node is being asked for news
-	answered     atomic.Int64 // when another node answered a probe last, in nanoseconds since 1970
-
-	mu      sync.Mutex
-	newer   *setting.NodeBounds    // the bounds of newer settings, nil for none
-	said    map[string]port.Record // what the operators said last beside the configuration, by key
-	workers map[worker.ID]worker.Worker
-	starts  map[worker.ID]bool      // ids whose entries have told a start, and whether one without has been logged since
-	owners  map[string]*owner.Owner // of pools, by name
-	waves   []wave.Wave
-	stop    bool
+	wakeWorkers chan struct{} // wakes the follower of the workers when the list is needed now
+	monitor     *monitor.Monitor
+	client      *noderpc.Client
+	probes      *noderpc.Client // separate, so that no other call delays a probe
+	server      *noderpc.Server
+
+	operatorFeed      follow.Follower
+	unreadable        sync.Map     // names of entries of the workers that have been logged as unreadable
+	catchingUp        atomic.Bool  // a catch-up request to another node is in progress
+	lastProbeResponse atomic.Int64 // when another node last responded to a probe, in nanoseconds since 1970
+
+	mu              sync.Mutex
+	newerBounds     *setting.NodeBounds    // bounds of newer settings, nil for none
+	operatorRecords map[string]port.Record // newest records of the operators apart from the configuration, by key
+	workers         map[worker.ID]worker.Worker
+	knownStarts     map[worker.ID]bool      // ids whose entries have stated a start time, and whether an entry without one has been logged since
+	owners          map[string]*owner.Owner // of pools, by name
+	waves           []wave.Wave
+	stopping        bool
 }
 
-// New puts a node together; it opens its address for other nodes, but does
-// nothing else yet.
+// New assembles a node; it listens on its address for other nodes, but does nothing else yet.
 func New(s setting.Node, ports Ports, c clock.Clock, logger log.Logger) (*Node, error) {
-	n := &Node{Setting: s, Ports: ports, Clock: c, Logger: logger, workers: make(map[worker.ID]worker.Worker), starts: make(map[worker.ID]bool), owners: make(map[string]*owner.Owner), said: make(map[string]port.Record), hurry: make(chan struct{}, 1)}
+	n := &Node{Setting: s, Ports: ports, Clock: c, Logger: logger, workers: make(map[worker.ID]worker.Worker), knownStarts: make(map[worker.ID]bool), owners: make(map[string]*owner.Owner), operatorRecords: make(map[string]port.Record), wakeWorkers: make(chan struct{}, 1)}
 	n.client = &noderpc.Client{Logger: logger, Dial: ports.Dial, OnUnresponsive: ports.OnUnresponsive}
 	n.probes = &noderpc.Client{Logger: logger, Dial: ports.Dial, OnUnresponsive: ports.OnUnresponsive}
 	n.server = &noderpc.Server{Logger: logger, Methods: n.methods(), OpenListener: ports.Listen}
@@ -96,12 +96,12 @@
 			Cores: s.Node.Cores, DataCenter: s.Node.DataCenter, LinkMbps: s.Node.LinkMbps,
 		},
 	}
-	n.Gateway = &gateway.Gateway{Directory: n.Directory, Clock: c, Logger: logger, Local: n.local, Remote: n.remote, OnOutdated: n.outdated}
+	n.Gateway = &gateway.Gateway{Directory: n.Directory, Clock: c, Logger: logger, Local: n.local, Remote: n.remote, OnOutdated: n.refreshFrom}
 	n.Ownership = &ownership.Manager{
 		Directory: n.Directory, Clock: c, Logger: logger,
-		Config: n.Gateway.Config, Roles: duties, Open: n.open, ProbeTakeOver: n.offer, RequestTakeOver: n.take,
+		Config: n.Gateway.Config, Roles: roles, Open: n.openRole, ProbeTakeOver: n.offer, RequestTakeOver: n.takeOver,
 	}
-	n.monitor = &monitor.Monitor{Directory: n.Directory, Clock: c, Logger: logger, Probe: n.probe, ProbeVia: n.ask}
+	n.monitor = &monitor.Monitor{Directory: n.Directory, Clock: c, Logger: logger, Probe: n.probe, ProbeVia: n.probeVia}
 	return n, nil
 }
 
@@ -118,65 +118,65 @@
 	n.probes.Close()
 }
 
-// Ready reports whether callers may be sent here.
+// Ready reports whether callers may be routed to this node.
 func (n *Node) Ready() bool {
 	v, _ := n.Directory.View()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.stop && v != nil && n.Gateway.Config() != nil
+	return !n.stopping && v != nil && n.Gateway.Config() != nil
 }
 
-// HandOver gives the node's pools to others and makes it not ready.
+// HandOver hands the node's pools over to other nodes and makes it not ready.
 func (n *Node) HandOver(ctx context.Context) {
 	n.mu.Lock()
-	n.stop = true
+	n.stopping = true
 	n.mu.Unlock()
 	n.Ownership.HandOver(ctx)
 	if err := n.Directory.Leave(ctx); err != nil {
-		n.Logger.Warn().Str("event", "stop").Err(err).Msg("this node's entry could not be taken away")
+		n.Logger.Warn().Str("event", "stop").Err(err).Msg("could not remove this node's entry from the directory")
 	}
 }
 
-// partition returns where the pool of a slot is kept.
+// partition returns the partition of the pool in a slot.
 func (n *Node) partition(slot int) port.Partition {
 	parts := n.Setting.Platform.Partitions
 	return port.Partition{Topic: fmt.Sprintf("keyed.pools%d", slot/parts), Index: slot % parts}
 }
 
-// spareTopics is how many topics hold spare partitions: the store takes 100 topics, and the
+// standbyTopics is how many topics hold standby partitions: the store allows 100 topics, and the
 // pools' own are as many.
-const spareTopics = 40
+const standbyTopics = 40
 
-// spare returns where the pool of a slot is kept while its partition does not answer: as far
-// from it as the partitions' numbers allow, since those of one place may be away together.
+// standbyPartition returns where the pool of a slot is written while its partition does not
+// respond: as far from it as the partition numbers allow, since adjacent ones may fail together.
 // Slots beyond what the store's topics hold have none.
-func (n *Node) spare(slot int) port.Partition {
+func (n *Node) standbyPartition(slot int) port.Partition {
 	parts := n.Setting.Platform.Partitions
-	if slot/parts >= spareTopics {
+	if slot/parts >= standbyTopics {
 		return port.Partition{}
 	}
 	return port.Partition{Topic: fmt.Sprintf("keyed.spares%d", slot/parts), Index: (slot + parts/2) % parts}
 }
 
-// spareShare is how much of each second one duty has for asking its spare partition: all together
-// make 100 calls a second at most, of some 1,000 that the store takes.
-const spareShare = 10 * time.Millisecond
+// standbyProbeShare is how much of each second one role has for probing its standby partition: all
+// together make at most 100 calls a second, of some 1,000 that the store allows.
+const standbyProbeShare = 10 * time.Millisecond
 
-// sparePeriod returns how often a duty asks its spare partition whether it answers.
-func (n *Node) sparePeriod() time.Duration {
+// standbyProbePeriod returns how often a role probes its standby partition.
+func (n *Node) standbyProbePeriod() time.Duration {
 	c := n.Gateway.Config()
 	if c == nil {
 		return 0
 	}
-	return time.Duration(len(duties(c))) * spareShare
+	return time.Duration(len(roles(c))) * standbyProbeShare
 }
 
-// fleetDuty is the duty for the instances of all pools; a pool has another name.
-const fleetDuty = "!fleet"
+// fleetRole is the role that manages the instances of all pools; no pool has this name.
+const fleetRole = "!fleet"
 
-// duties returns the pools that run tasks, and the duty for instances.
-func duties(c *config.Config) []string {
-	list := []string{fleetDuty}
+// roles returns the pools that run tasks, and the role for instances.
+func roles(c *config.Config) []string {
+	list := []string{fleetRole}
 	for _, p := range c.Pools {
 		if !p.Headroom {
 			list = append(list, p.Name)
@@ -185,20 +185,20 @@
 	return list
 }
 
-// open returns a tenant for a duty.
-func (n *Node) open(duty string, slot int) *ownership.RoleRunner {
-	logger := n.Logger.With().Str("pool", duty).Logger()
+// openRole returns the runner of a role.
+func (n *Node) openRole(role string, slot int) *ownership.RoleRunner {
+	logger := n.Logger.With().Str("pool", role).Logger()
 	j := &journal.Journal{
-		Partition: n.partition(slot), Standby: n.spare(slot), StandbyProbePeriod: n.sparePeriod(), Store: n.Ports.Store, Clock: n.Clock, Logger: logger,
+		Partition: n.partition(slot), Standby: n.standbyPartition(slot), StandbyProbePeriod: n.standbyProbePeriod(), Store: n.Ports.Store, Clock: n.Clock, Logger: logger,
 		Count: n.Ports.Count,
 	}
-	if duty == fleetDuty {
+	if role == fleetRole {
 		return n.openFleet(j, logger)
 	}
-	return n.openPool(duty, j, logger)
+	return n.openPool(role, j, logger)
 }
 
-// openPool returns the tenant that runs a pool.
+// openPool returns the runner that schedules a pool.
 func (n *Node) openPool(pool string, j *journal.Journal, logger log.Logger) *ownership.RoleRunner {
 	b := n.bounds()
 	o := &owner.Owner{
@@ -206,18 +206,18 @@
 		Limits: scheduler.Limits{
 			Lease: min(lease, b.MaxLease.Std()), MaxLease: b.MaxLease.Std(), StopTime: b.StopTime.Std(), Retention: b.StatusRetention.Std(), RemoteFactor: b.RemoteSlowdown,
 		},
-		Clock: n.Clock, Logger: logger, NoPeers: n.alone, Count: n.Ports.Count,
+		Clock: n.Clock, Logger: logger, NoPeers: n.isolated, Count: n.Ports.Count,
 	}
 	run := func(ctx context.Context) error {
 		n.setOwner(pool, o)
 		defer n.setOwner(pool, nil)
-		n.inform(ctx, o)
+		n.initOwner(ctx, o)
 		return o.Run(ctx)
 	}
 	return &ownership.RoleRunner{Claim: o.Claim, Run: run, Stuck: j.IsStuck, Epoch: o.Epoch, Done: o.Done}
 }
 
-// openFleet returns the tenant that decides on instances.
+// openFleet returns the runner that manages instances.
 func (n *Node) openFleet(j *journal.Journal, logger log.Logger) *ownership.RoleRunner {
 	b := n.bounds()
 	m := &fleet.Manager{
@@ -247,7 +247,7 @@
 	}
 	n.owners[pool] = o
 	select {
-	case n.hurry <- struct{}{}:
+	case n.wakeWorkers <- struct{}{}:
 	default:
 	}
 }
@@ -259,8 +259,8 @@
 	return slices.Collect(maps.Values(n.owners))
 }
 
-// inform gives an owner what the node knows.
-func (n *Node) inform(ctx context.Context, o *owner.Owner) {
+// initOwner passes the configuration and the workers to a new owner.
+func (n *Node) initOwner(ctx context.Context, o *owner.Owner) {
 	if c := n.Gateway.Config(); c != nil {
 		o.Configure(c)
 	}
@@ -270,15 +270,15 @@
 	o.UpdateWorkers(ctx, list, true)
 }
 
-// waveList returns the waves that the operators have asked for.
+// waveList returns the waves that the operators have requested.
 func (n *Node) waveList() []wave.Wave {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.waves)
 }
 
-// takeWave takes a wave of the operators.
-func (n *Node) takeWave(w wave.Wave) {
+// setWave adds or replaces a wave of the operators.
+func (n *Node) setWave(w wave.Wave) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	at := slices.IndexFunc(n.waves, func(o wave.Wave) bool { return o.Number == w.Number })
@@ -289,45 +289,45 @@
 	n.waves = append(n.waves, w)
 }
 
-// followOperators follows the operators' configuration.
+// followOperators follows the operators' records.
 func (n *Node) followOperators(ctx context.Context) {
 	f := &n.operatorFeed
 	f.Store, f.Partition, f.Clock, f.Logger = n.Ports.Store, n.Ports.Feeds.Operators, n.Clock, n.Logger
-	f.Wait, f.Apply = operatorsWait, n.operators
+	f.Wait, f.Apply = operatorsWait, n.applyOperators
 	f.Run(ctx)
 }
 
-// operators takes records of the operators.
-func (n *Node) operators(records []port.Record, _ bool) {
+// applyOperators applies records of the operators.
+func (n *Node) applyOperators(records []port.Record, _ bool) {
 	for _, r := range records {
 		c, err := n.Ports.Feeds.DecodeConfig(r)
 		if err != nil {
-			n.Logger.Error().Str("event", "config").Uint64("offset", r.Offset).Err(err).Msg("a configuration can't be read and is passed over")
+			n.Logger.Error().Str("event", "config").Uint64("offset", r.Offset).Err(err).Msg("configuration can't be read and is skipped")
 			continue
 		}
 		if c != nil {
 			n.configure(c)
 			continue
 		}
-		n.keep(r)
+		n.keepRecord(r)
 		w, isWave, err := n.Ports.Feeds.DecodeWave(r)
 		if err != nil {
-			n.Logger.Error().Str("event", "wave").Uint64("offset", r.Offset).Err(err).Msg("a wave can't be read and is passed over")
+			n.Logger.Error().Str("event", "wave").Uint64("offset", r.Offset).Err(err).Msg("wave can't be read and is skipped")
 			continue
 		}
 		if isWave {
-			n.takeWave(w)
+			n.setWave(w)
 		}
 	}
 }
 
-// keep keeps a record of the operators for nodes that can't read it themselves. Of a
-// configuration only what was read from it is kept, since its record has the customers' keys.
-func (n *Node) keep(r port.Record) {
+// keepRecord keeps a record of the operators for nodes that can't read it themselves. Of a
+// configuration only the parsed form is kept, since its record contains the customers' keys.
+func (n *Node) keepRecord(r port.Record) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if r.Offset >= n.said[r.Key].Offset {
-		n.said[r.Key] = r
+	if r.Offset >= n.operatorRecords[r.Key].Offset {
+		n.operatorRecords[r.Key] = r
 	}
 }
 
@@ -336,7 +336,7 @@
 		return
 	}
 	n.Logger.Info().Str("event", "config").Uint64("version", c.Version).Int("queues", len(c.Queues)).Int("pools", len(c.Pools)).Int("customers", len(c.Customers)).
-		Str("outcome", "in force").Msg("a configuration is taken over")
+		Str("outcome", "in force").Msg("configuration is in force")
 	for _, o := range n.ownerList() {
 		o.Configure(c)
 	}
@@ -346,73 +346,73 @@
 func (n *Node) followWorkers(ctx context.Context) {
 	f := follow.Follower{
 		Store: n.Ports.Store, Partition: n.Ports.Feeds.Workers, Clock: n.Clock, Logger: n.Logger,
-		Gap: func() time.Duration { return workersGap }, Wake: n.hurry, Idle: n.ownsNoPool,
-		Apply: func(records []port.Record, whole bool) { n.list(ctx, records, whole) },
+		Gap: func() time.Duration { return workersGap }, Wake: n.wakeWorkers, Idle: n.ownsNoPool,
+		Apply: func(records []port.Record, whole bool) { n.applyWorkers(ctx, records, whole) },
 	}
 	f.Run(ctx)
 }
 
-// ownsNoPool reports whether no pool of this node needs the list of workers. Each of
-// them changes its entry every second or two: read by every node, the list of 3,000
-// takes more than all reading that the store bears.
+// ownsNoPool reports whether no pool of this node needs the list of workers. Each worker changes
+// its entry every second or two: if every node read it, the list of 3,000 workers would take more
+// reads than the store can serve.
 func (n *Node) ownsNoPool() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.owners) == 0
 }
 
-// list takes records of the platform's list of workers. An entry that can't be read,
-// or that lacks what a worker says of itself, may be another writer's: it names no
-// worker to use, and what an earlier one said is told no longer.
-func (n *Node) list(ctx context.Context, records []port.Record, whole bool) {
-	newest := make(map[worker.ID]*worker.Worker, len(records)) // nil for one that is gone
+// applyWorkers applies records of the platform's list of workers. An entry that can't be read, or
+// that lacks what a worker states of itself, may be another writer's: it names no usable worker,
+// and what an earlier entry stated no longer counts.
+func (n *Node) applyWorkers(ctx context.Context, records []port.Record, whole bool) {
+	newest := make(map[worker.ID]*worker.Worker, len(records)) // nil for a removed worker
 	removed := make(map[worker.ID]bool)
 	for _, r := range records {
 		id := worker.ID(r.Key)
 		newest[id], removed[id] = n.decodeWorker(r), len(r.Value) == 0
 	}
-	var seen []worker.Worker
-	var gone []worker.ID
+	var current []worker.Worker
+	var removedIDs []worker.ID
 	n.mu.Lock()
 	if whole {
 		clear(n.workers)
-		maps.DeleteFunc(n.starts, func(id worker.ID, _ bool) bool { _, listed := newest[id]; return !listed })
+		maps.DeleteFunc(n.knownStarts, func(id worker.ID, _ bool) bool { _, listed := newest[id]; return !listed })
 	}
 	for id, w := range newest {
 		if removed[id] {
-			delete(n.starts, id)
+			delete(n.knownStarts, id)
 		}
 		if w == nil || n.lacksStart(w) {
 			delete(n.workers, id)
-			gone = append(gone, id)
+			removedIDs = append(removedIDs, id)
 			continue
 		}
 		n.workers[id] = *w
-		seen = append(seen, *w)
+		current = append(current, *w)
 	}
 	n.mu.Unlock()
 	for _, o := range n.ownerList() {
-		o.UpdateWorkers(ctx, seen, whole)
-		if !whole && len(gone) > 0 {
-			o.UnlistWorkers(gone)
+		o.UpdateWorkers(ctx, current, whole)
+		if !whole && len(removedIDs) > 0 {
+			o.UnlistWorkers(removedIDs)
 		}
 	}
 }
 
-// lacksStart reports whether an entry does not tell the start of its worker though an earlier
-// one has, since that was last removed. The lock is held.
+// lacksStart reports whether an entry does not state the start time of its worker although an
+// earlier one did since the entry was last removed. The lock is held.
 func (n *Node) lacksStart(w *worker.Worker) bool {
-	logged, known := n.starts[w.ID]
+	logged, known := n.knownStarts[w.ID]
 	switch {
 	case w.StartedAt > 0:
-		n.starts[w.ID] = false
+		n.knownStarts[w.ID] = false
 		return false
 	case !known:
 		return false
 	case !logged:
-		n.starts[w.ID] = true
+		n.knownStarts[w.ID] = true
 		n.Logger.Error().Str("event", "worker").Str("worker", string(w.ID)).Uint64("offset", w.Revision).Str("outcome", "not used").
-			Msg("an entry lacks the start that its worker has told before, and names no worker to use")
+			Msg("worker entry lacks the start time that the worker stated before; the worker is not used")
 	}
 	return true
 }
@@ -425,12 +425,12 @@
 	w, err := n.Ports.Feeds.DecodeWorker(r)
 	if err == nil {
 		w.Revision = r.Offset
-		n.unread.Delete(r.Key)
+		n.unreadable.Delete(r.Key)
 		return &w
 	}
-	if _, told := n.unread.Swap(r.Key, true); !told {
+	if _, logged := n.unreadable.Swap(r.Key, true); !logged {
 		n.Logger.Error().Str("event", "worker").Str("worker", r.Key).Uint64("offset", r.Offset).Err(err).Str("outcome", "not used").
-			Msg("an entry among the workers names no worker to use")
+			Msg("worker entry is invalid; the worker is not used")
 	}
 	return nil
 }
--- a/node/random_test.go
+++ b/node/random_test.go
@@ -17,29 +17,28 @@
 	"github.com/yardbridge/yardbridge/modules/tomlfile"
 )
 
-// randomSeeds is how many random days are played; YARDBRIDGE_TEST_SEEDS names
-// another number, and YARDBRIDGE_TEST_SEED one seed.
+// randomSeeds is how many random days are run; YARDBRIDGE_TEST_SEEDS sets another number, and
+// YARDBRIDGE_TEST_SEED selects one seed.
 const randomSeeds = 40
 
-// failedSeeds are seeds of random days that have failed once; they are played
-// first.
+// failedSeeds are seeds of random days that have failed before; they run first.
 var failedSeeds = []uint64{
 	22,                                      // a node was asked to take a pool over before it had a configuration
-	32,                                      // the model took a task for away by an order that had been at work since
-	2, 6, 7, 8, 47, 48, 66, 70, 73, 86, 168, // failed while the nodes were written: see the commits that name them
+	32,                                      // the model considered a task down because of an order although the task had been running since
+	2, 6, 7, 8, 47, 48, 66, 70, 73, 86, 168, // failed during the development of package node: see the commits that name them
 }
 
-// TestRandomDays plays days with faults drawn from a seed. All faults are over
-// after healed, and by the end everything must be done that was asked for.
-func TestRandomDays(t *testing.T) { playDays(t, failedSeeds, randomSeeds, randomDay) }
+// TestRandomDays runs days with faults drawn from a seed. All faults end before faultsEnd, and by
+// the end everything that was requested must be done.
+func TestRandomDays(t *testing.T) { runDays(t, failedSeeds, randomSeeds, randomDay) }
 
-// playDays plays days that are drawn from seeds: those that have failed once, and the first
-// ones up to a count, unless the environment names another count or one seed.
-func playDays(t *testing.T, failed []uint64, count int, day func(seed uint64) script) {
+// runDays runs days that are drawn from seeds: those that have failed before, and the first ones up
+// to a count, unless the environment sets another count or one seed.
+func runDays(t *testing.T, failed []uint64, count int, day func(seed uint64) script) {
 	if text := os.Getenv("YARDBRIDGE_TEST_SEED"); text != "" {
 		seed, err := strconv.ParseUint(text, 10, 64)
 		assert.NilError(t, err)
-		play(t, day(seed))
+		runScript(t, day(seed))
 		return
 	}
 	if text := os.Getenv("YARDBRIDGE_TEST_SEEDS"); text != "" {
@@ -56,7 +55,7 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, day(seed))
+			runScript(t, day(seed))
 		})
 	}
 }
@@ -64,7 +63,7 @@
 // The times of a random day.
 const (
 	firstFault = 5 * time.Second
-	healed     = 26 * time.Second
+	faultsEnd  = 26 * time.Second
 	dayEnd     = 70 * time.Second
 )
 
@@ -72,20 +71,20 @@
 func randomDay(seed uint64) script {
 	r := rand.New(rand.NewPCG(seed, 2))
 	s := script{
-		Seed: seed, Nodes: 3 + r.IntN(3), Off: 4 + r.IntN(3), Until: tomlfile.Duration(dayEnd), AtWork: true, Complete: []int{1},
+		Seed: seed, Nodes: 3 + r.IntN(3), Off: 4 + r.IntN(3), Until: tomlfile.Duration(dayEnd), AllRunning: true, Complete: []int{1},
 		Pools: []scriptPool{{"alpha", 4 + r.IntN(3), 2, false}, {"beta", 3 + r.IntN(3), 2, r.IntN(3) == 0}},
 	}
 	for _, p := range s.Pools {
 		s.Jobs = append(s.Jobs,
 			scriptJob{At: seconds(2), Pool: p.Name, Steps: []scriptStep{
-				{Count: 3 + r.IntN(3), CPU: 1500, MemoryMB: 1000, Lasting: true, MayMiss: 1, PerWorker: 2},
+				{Count: 3 + r.IntN(3), CPU: 1500, MemoryMB: 1000, LongRunning: true, MaxUnavailable: 1, MaxPerWorker: 2},
 			}},
 			scriptJob{At: seconds(3), Pool: p.Name, Count: 20 + r.IntN(40), Gap: tomlfile.Duration(time.Duration(200+r.IntN(400)) * time.Millisecond), Steps: []scriptStep{
-				{Count: 1 + r.IntN(6), CPU: 500 + r.IntN(2000), MemoryMB: 500, Takes: tomlfile.Duration(time.Duration(300+r.IntN(1500)) * time.Millisecond)},
-				{Count: 1 + r.IntN(6), CPU: 500 + r.IntN(2000), MemoryMB: 500, Takes: tomlfile.Duration(time.Duration(300+r.IntN(900)) * time.Millisecond), After: []int{0}},
+				{Count: 1 + r.IntN(6), CPU: 500 + r.IntN(2000), MemoryMB: 500, RunTime: tomlfile.Duration(time.Duration(300+r.IntN(1500)) * time.Millisecond)},
+				{Count: 1 + r.IntN(6), CPU: 500 + r.IntN(2000), MemoryMB: 500, RunTime: tomlfile.Duration(time.Duration(300+r.IntN(900)) * time.Millisecond), DependsOn: []int{0}},
 			}},
-			scriptJob{At: seconds(4), Pool: p.Name, Count: 3, Gap: seconds(4), Spec: "poison", Steps: []scriptStep{{Count: 2, CPU: 500, MemoryMB: 100, Takes: tomlfile.Duration(300 * time.Millisecond)}}},
-			scriptJob{At: seconds(4), Pool: p.Name, Count: 5, Gap: seconds(3), Steps: []scriptStep{{Count: 2 + r.IntN(3), CPU: 1000, MemoryMB: 100, Takes: tomlfile.Duration(500 * time.Millisecond), Gang: true}}},
+			scriptJob{At: seconds(4), Pool: p.Name, Count: 3, Gap: seconds(4), Spec: "poison", Steps: []scriptStep{{Count: 2, CPU: 500, MemoryMB: 100, RunTime: tomlfile.Duration(300 * time.Millisecond)}}},
+			scriptJob{At: seconds(4), Pool: p.Name, Count: 5, Gap: seconds(3), Steps: []scriptStep{{Count: 2 + r.IntN(3), CPU: 1000, MemoryMB: 100, RunTime: tomlfile.Duration(500 * time.Millisecond), Gang: true}}},
 		)
 	}
 	s.Events = append(s.Events, scriptEvent{At: seconds(6), Kind: "wave", Share: 0.5, AtOnce: 2 + r.IntN(2), Within: seconds(25)})
@@ -97,17 +96,17 @@
 
 func seconds(n int) tomlfile.Duration { return tomlfile.Duration(time.Duration(n) * time.Second) }
 
-// randomEvent draws a fault that is over when all must be healed.
+// randomEvent draws a fault that ends before faultsEnd.
 func randomEvent(r *rand.Rand, nodes int) scriptEvent {
 	kinds := []string{
 		"kill", "kill", "stop", "cut", "store-silent", "store-refuses", "store-lost", "workers-cut", "crash", "crash", "silent", "late",
 		"hangs", "fails", "drain", "history", "orders-lost", "relist",
 	}
-	at := firstFault + time.Duration(r.Int64N(int64(healed-firstFault)))
+	at := firstFault + time.Duration(r.Int64N(int64(faultsEnd-firstFault)))
 	e := scriptEvent{
 		At: tomlfile.Duration(at), Kind: kinds[r.IntN(len(kinds))], Node: 1 + r.IntN(nodes), Worker: r.IntN(4),
 		Pool: []string{"alpha", "beta"}[r.IntN(2)], Share: 0.35,
-		For: tomlfile.Duration(min(time.Duration(500+r.IntN(8000))*time.Millisecond, healed-at)),
+		For: tomlfile.Duration(min(time.Duration(500+r.IntN(8000))*time.Millisecond, faultsEnd-at)),
 	}
 	if r.IntN(4) == 0 {
 		e.Node = 0 // all nodes
--- a/node/script_event_test.go
+++ b/node/script_event_test.go
@@ -18,14 +18,14 @@
 	"github.com/yardbridge/yardbridge/standin/world"
 )
 
-// scriptEvent is something that happens. Kinds: kill, stop, cut, store-silent,
-// store-refuses, store-lost, suspend (for one node, or all where none is named), crash, crash-rack,
-// silent, late, hangs, fails, drain, shrink (of a worker, by its place among those of the
-// pool), wave, limits (of the customers, to a share of what they were), orders-lost (of the answers of the control of instances), history,
-// parts-refuse, parts-silent (for all nodes: of the partition of the pool where one is named, else of
-// a share of all that pools and the duty for instances may be kept in),
-// relist (of lives that are over), cancel (of the jobs of a pool), silence (of all open
-// connections between nodes).
+// scriptEvent is one event of a script. Kinds: kill, stop, cut, store-silent, store-refuses,
+// store-lost, suspend (one node, or all if none is named), crash, crash-rack, silent, late, hangs,
+// fails, drain, shrink (of a worker, by its index among those of the pool), wave, limits (of the
+// customers, to a share of the original ones), orders-lost (responses of instance control),
+// history, parts-refuse, parts-silent (for all nodes: the partition of the pool if one is named,
+// otherwise a share of all partitions that pools and the role for instances may be written to),
+// relist (of ended incarnations), cancel (of the jobs of a pool), silence (of all open connections
+// between nodes).
 type scriptEvent struct {
 	At     tomlfile.Duration `toml:"at"`
 	Kind   string            `toml:"kind"`
@@ -38,8 +38,8 @@
 	Within tomlfile.Duration `toml:"within"`
 }
 
-func (st *stage) happen(e scriptEvent) {
-	if epochs := st.owners(); st.script.Stay {
+func (st *scenario) applyEvent(e scriptEvent) {
+	if epochs := st.owners(); st.script.KeepOwners {
 		st.mu.Lock()
 		if st.epochs == nil {
 			st.epochs = epochs
@@ -49,21 +49,21 @@
 	if os.Getenv("YARDBRIDGE_TEST_LOG") != "" {
 		fmt.Fprintf(os.Stderr, "{\"event\":\"HAPPENS\",\"what\":\"%+v\",\"time\":%q}\n", e, time.Now().Format(time.RFC3339))
 	}
-	if st.script.Once {
+	if st.script.MoveOnce {
 		st.expectOnce(e)
 	}
 	switch e.Kind {
 	case "kill", "stop":
 		for i, n := range st.nodes {
 			if e.Node == 0 || e.Node == i+1 {
-				go st.down(n, e)
+				go st.restartNode(n, e)
 			}
 		}
 	case "cut", "store-silent", "store-refuses", "store-lost", "workers-cut":
 		for i, n := range st.nodes {
 			if e.Node == 0 || e.Node == i+1 {
-				st.world.SetFaults(n.name, func(f *world.Faults) { fault(f, e, true) })
-				time.AfterFunc(e.For.Std(), func() { st.world.SetFaults(n.name, func(f *world.Faults) { fault(f, e, false) }) })
+				st.world.SetFaults(n.name, func(f *world.Faults) { setFault(f, e, true) })
+				time.AfterFunc(e.For.Std(), func() { st.world.SetFaults(n.name, func(f *world.Faults) { setFault(f, e, false) }) })
 			}
 		}
 	case "suspend":
@@ -73,9 +73,9 @@
 			}
 		}
 	case "parts-refuse":
-		st.partsAway(e, world.Refusing)
+		st.partitionsAway(e, world.Refusing)
 	case "parts-silent":
-		st.partsAway(e, world.Unresponsive)
+		st.partitionsAway(e, world.Unresponsive)
 	case "orders-lost":
 		st.world.LoseOrderResponses(e.Share)
 		time.AfterFunc(e.For.Std(), func() { st.world.LoseOrderResponses(0) })
@@ -91,28 +91,28 @@
 		st.world.BlackholeConnections()
 	case "cancel":
 		st.mu.Lock()
-		ids := maps.Clone(st.open[e.Pool])
+		ids := maps.Clone(st.jobOwners[e.Pool])
 		st.mu.Unlock()
-		for id, by := range ids {
-			st.jobs.Go(func() { st.cancelJob(e.Pool, id, by) })
+		for id, customer := range ids {
+			st.jobs.Go(func() { st.cancelJob(e.Pool, id, customer) })
 		}
 	default:
-		st.trouble(e)
+		st.faultWorker(e)
 	}
 }
 
-// partsAway has partitions be away for a while.
-func (st *stage) partsAway(e scriptEvent, a world.Outage) {
+// partitionsAway makes partitions unavailable for a while.
+func (st *scenario) partitionsAway(e scriptEvent, a world.Outage) {
 	var at Node
 	at.Setting.Platform.Partitions = storeParts
 	var parts []port.Partition
 	if e.Pool != "" {
-		v, _ := st.live().Directory.View()
+		v, _ := st.readyNode().Directory.View()
 		parts = append(parts, at.partition(v.Pools[e.Pool].Slot))
 	} else {
 		st.mu.Lock()
 		for slot := range len(st.script.Pools) + 1 {
-			for _, p := range []port.Partition{at.partition(slot), at.spare(slot)} {
+			for _, p := range []port.Partition{at.partition(slot), at.standbyPartition(slot)} {
 				if st.random.Float64() < e.Share {
 					parts = append(parts, p)
 				}
@@ -126,33 +126,32 @@
 	}
 }
 
-// suspend has a node reach nobody for a while that its steady clock does not count. The
-// model can't hold its process still: what it decides meanwhile comes to nothing. One that is
-// suspended already is so until the last of its suspensions is over: a steady clock never
-// runs back.
-func (st *stage) suspend(n *stagedNode, e scriptEvent) {
+// suspend disconnects a node for a while that its steady clock does not count. The model can't stop
+// its process: what it decides meanwhile has no effect. A node that is suspended already stays so
+// until the last of its suspensions ends: a steady clock never runs backwards.
+func (st *scenario) suspend(n *scenarioNode, e scriptEvent) {
 	set := func(on bool) {
 		st.world.SetFaults(n.name, func(f *world.Faults) { f.PeersCut, f.StoreUnresponsive, f.WorkersCut = on, on, on })
 	}
 	set(true)
 	if n.suspensions.Add(1) == 1 {
-		n.since.Store(time.Now().UnixNano())
+		n.suspendedAt.Store(time.Now().UnixNano())
 	}
 	time.AfterFunc(e.For.Std(), func() {
 		if n.suspensions.Add(-1) > 0 {
 			return
 		}
-		n.asleep.Add(time.Now().UnixNano() - n.since.Swap(0))
+		n.suspendedFor.Add(time.Now().UnixNano() - n.suspendedAt.Swap(0))
 		set(false)
 	})
 }
 
-// expectOnce has the pools looked at before an event is over: those of its node must
+// expectOnce compares the owners of the pools before and after an event: the pools of its node must
 // have changed their owner once, and the others not at all.
-func (st *stage) expectOnce(e scriptEvent) {
-	n := st.live()
+func (st *scenario) expectOnce(e scriptEvent) {
+	n := st.readyNode()
 	if n == nil {
-		st.fail("no node is ready")
+		st.fail("no node is ready before the event")
 		return
 	}
 	before, _ := n.Directory.View()
@@ -164,13 +163,13 @@
 				want = 1
 			}
 			if moves != want {
-				st.fail("pool %s of node %s has changed its owner %d times, not %d", pool, o.Node, moves, want)
+				st.fail("pool %s of node %s changed its owner %d times, want %d", pool, o.Node, moves, want)
 			}
 		}
 	})
 }
 
-func fault(f *world.Faults, e scriptEvent, on bool) {
+func setFault(f *world.Faults, e scriptEvent, on bool) {
 	switch e.Kind {
 	case "cut":
 		f.PeersCut = on
@@ -188,9 +187,8 @@
 	}
 }
 
-// down ends a node, after it has handed over where it is stopped, and brings it
-// back after a while.
-func (st *stage) down(n *stagedNode, e scriptEvent) {
+// restartNode ends a node, after a hand-over if it is stopped, and starts it again after a while.
+func (st *scenario) restartNode(n *scenarioNode, e scriptEvent) {
 	n.mu.Lock()
 	node := n.node
 	busy := n.busy
@@ -212,8 +210,8 @@
 	n.busy = false
 }
 
-// wave asks for the maintenance of a share of all instances.
-func (st *stage) wave(e scriptEvent) {
+// wave requests the maintenance of a share of all instances.
+func (st *scenario) wave(e scriptEvent) {
 	list, _ := st.world.Instances().List(context.Background())
 	v := wave.Wave{Number: 1, TimeLimit: e.Within.Std(), MaxConcurrent: e.AtOnce}
 	for i, o := range list {
@@ -224,18 +222,18 @@
 	st.world.RequestWave(v)
 }
 
-func (st *stage) cancelJob(pool string, id job.ID, by string) {
+func (st *scenario) cancelJob(pool string, id job.ID, customer string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*callLimit)
 	defer cancel()
-	if st.until(ctx, func(ctx context.Context, n *Node) bool {
-		return n.Gateway.Cancel(ctx, n.Gateway.Config().Queue("h/"+pool+"/"), id, by) == nil
+	if st.retry(ctx, func(ctx context.Context, n *Node) bool {
+		return n.Gateway.Cancel(ctx, n.Gateway.Config().Queue("h/"+pool+"/"), id, customer) == nil
 	}) {
 		st.world.RecordCancel(id)
 	}
 }
 
-// trouble has something happen to a worker.
-func (st *stage) trouble(e scriptEvent) {
+// faultWorker applies an event to a worker.
+func (st *scenario) faultWorker(e scriptEvent) {
 	list, _ := st.world.Instances().List(context.Background())
 	var ids []worker.ID
 	racks := make(map[string][]worker.ID)
--- a/node/script_test.go
+++ b/node/script_test.go
@@ -31,29 +31,29 @@
 	"github.com/yardbridge/yardbridge/standin/world"
 )
 
-// script is a scripted test of whole nodes: what there is, what happens when, and
+// script describes a scripted test of whole nodes: the environment, the events and their times, and
 // what must hold at the end.
 type script struct {
-	Seed      uint64            `toml:"seed"`
-	Nodes     int               `toml:"nodes"`
-	Cores     []float64         `toml:"cores"`  // of the nodes, one each where it is left out
-	Owners    []int             `toml:"owners"` // the nodes that may own pools at the end, any where it is left out
-	Off       int               `toml:"off"`    // instances that are off
-	Waves     bool              `toml:"-"`      // a wave was asked for
-	Until     tomlfile.Duration `toml:"until"`  // when all must be done
-	Pools     []scriptPool      `toml:"pool"`
-	Customers []scriptCustomer  `toml:"customer"`
-	Jobs      []scriptJob       `toml:"job"`
-	Events    []scriptEvent     `toml:"event"`
-	AtWork    bool              `toml:"at_work"`  // all tasks that last must be at work at the end
-	MayStay   bool              `toml:"may_stay"` // jobs need not be done
-	Complete  []int             `toml:"complete"` // waves that must be
-	Stay      bool              `toml:"stay"`     // no pool may change its owner after the first event
-	Once      bool              `toml:"once"`     // each event has the pools of its node change their owner once, and no others
-	Answer    tomlfile.Duration `toml:"answer"`   // the longest that a call of a caller may take, 0 for no limit
-	Restarts  bool              `toml:"restarts"` // workers that crash come back under their id
-	Gangs     bool              `toml:"gangs"`    // no member of a gang may wait for the others in vain
-	GiveUp    int               `toml:"give_up"`  // jobs that may be given up though they could be done, where two workers have crashed under a task
+	Seed        uint64            `toml:"seed"`
+	Nodes       int               `toml:"nodes"`
+	Cores       []float64         `toml:"cores"`  // of the nodes, one each if omitted
+	Owners      []int             `toml:"owners"` // nodes that may own pools at the end, any if omitted
+	Off         int               `toml:"off"`    // instances that are off
+	Waves       bool              `toml:"-"`      // a wave was requested
+	Until       tomlfile.Duration `toml:"until"`  // when all must be done
+	Pools       []scriptPool      `toml:"pool"`
+	Customers   []scriptCustomer  `toml:"customer"`
+	Jobs        []scriptJob       `toml:"job"`
+	Events      []scriptEvent     `toml:"event"`
+	AllRunning  bool              `toml:"at_work"`  // all long-running tasks must be running at the end
+	MayRemain   bool              `toml:"may_stay"` // jobs need not be done
+	Complete    []int             `toml:"complete"` // waves that must be completed
+	KeepOwners  bool              `toml:"stay"`     // no pool may change its owner after the first event
+	MoveOnce    bool              `toml:"once"`     // each event makes the pools of its node change their owner once, and no others
+	MaxResponse tomlfile.Duration `toml:"answer"`   // the longest that a call of a caller may take, 0 for no limit
+	Restarts    bool              `toml:"restarts"` // workers that crash restart under the same id
+	Gangs       bool              `toml:"gangs"`    // no member of a gang may wait for the others in vain
+	GiveUp      int               `toml:"give_up"`  // jobs that may be given up although they could be done, where two workers have crashed under a task
 }
 
 type scriptPool struct {
@@ -75,7 +75,7 @@
 	At       tomlfile.Duration `toml:"at"`
 	Pool     string            `toml:"pool"`
 	Customer string            `toml:"customer"`
-	Count    int               `toml:"count"` // of like jobs
+	Count    int               `toml:"count"` // of identical jobs
 	Gap      tomlfile.Duration `toml:"gap"`   // between them
 	Spec     string            `toml:"spec"`
 	Steps    []scriptStep      `toml:"step"`
@@ -85,75 +85,75 @@
 func (j scriptJob) crashes() bool { return strings.HasPrefix(j.Spec, world.CrashingSpec) }
 
 type scriptStep struct {
-	Count     int               `toml:"count"`
-	CPU       int               `toml:"cpu"`
-	MemoryMB  int               `toml:"memory_mb"`
-	Takes     tomlfile.Duration `toml:"takes"`
-	After     []int             `toml:"after"`
-	Lasting   bool              `toml:"lasting"`
-	MayMiss   int               `toml:"away_most"`
-	PerWorker int               `toml:"per_worker"`
-	Gang      bool              `toml:"gang"`
-	Target    tomlfile.Duration `toml:"target"`
-	Filling   bool              `toml:"filling"`
-}
-
-// stage is a script that is being played.
-type stage struct {
+	Count            int               `toml:"count"`
+	CPU              int               `toml:"cpu"`
+	MemoryMB         int               `toml:"memory_mb"`
+	RunTime          tomlfile.Duration `toml:"takes"`
+	DependsOn        []int             `toml:"after"`
+	LongRunning      bool              `toml:"lasting"`
+	MaxUnavailable   int               `toml:"away_most"`
+	MaxPerWorker     int               `toml:"per_worker"`
+	Gang             bool              `toml:"gang"`
+	LatencyObjective tomlfile.Duration `toml:"target"`
+	Backfill         bool              `toml:"filling"`
+}
+
+// scenario is a running script.
+type scenario struct {
 	t      *testing.T
 	script script
 	world  *world.World
 	queues []config.Queue
 	pools  []config.Pool
-	nodes  []*stagedNode
+	nodes  []*scenarioNode
 	jobs   sync.WaitGroup
 	began  time.Time
 	random *rand.Rand
 
-	mu      sync.Mutex
-	version uint64            // of the configuration
-	epochs  map[string]uint64 // of the pools, before the first event
-	lasting []job.StepRef
-	open    map[string]map[job.ID]string // jobs by pool, and whose they are
-	failed  []string
-	givenUp int
-}
-
-// stagedNode is one node of a stage; it is replaced when it is killed.
-type stagedNode struct {
-	name   string
-	number int // from 1
-	mu     sync.Mutex
-	node   *Node
-	cancel context.CancelFunc
-	gone   chan struct{}
-	busy   bool         // it is being stopped and started
-	asleep atomic.Int64 // for how long its machine was suspended, which its steady clock has not counted, in nanoseconds
-	since  atomic.Int64 // since when it is, in nanoseconds since 1970, 0 for not
-
-	suspensions atomic.Int64 // that hold
-}
-
-// clock returns the clock of a process on the node's machine: its steady clock does not
-// count the time for which that was suspended.
-func (n *stagedNode) clock(t *testing.T) clock.Clock {
+	mu          sync.Mutex
+	version     uint64            // of the configuration
+	epochs      map[string]uint64 // of the pools, before the first event
+	longRunning []job.StepRef
+	jobOwners   map[string]map[job.ID]string // customer of each job, by pool
+	failed      []string
+	givenUp     int
+}
+
+// scenarioNode is one node of a scenario; its Node is replaced when it is killed.
+type scenarioNode struct {
+	name         string
+	number       int // from 1
+	mu           sync.Mutex
+	node         *Node
+	cancel       context.CancelFunc
+	stopped      chan struct{}
+	busy         bool         // it is being stopped and started
+	suspendedFor atomic.Int64 // how long its machine was suspended, which its steady clock has not counted, in nanoseconds
+	suspendedAt  atomic.Int64 // since when it is suspended, in nanoseconds since 1970, 0 for not
+
+	suspensions atomic.Int64 // in force
+}
+
+// clock returns the clock of a process on the node's machine: its steady clock does not count the
+// time during which the machine was suspended.
+func (n *scenarioNode) clock(t *testing.T) clock.Clock {
 	began := time.Now()
 	steady := func() time.Time {
-		lost := time.Duration(n.asleep.Load())
-		if since := n.since.Load(); since > 0 {
-			lost += time.Since(time.Unix(0, since))
+		lost := time.Duration(n.suspendedFor.Load())
+		if suspendedAt := n.suspendedAt.Load(); suspendedAt > 0 {
+			lost += time.Since(time.Unix(0, suspendedAt))
 		}
 		return time.Now().Add(-lost)
 	}
 	s, err := clock.NewSuspendAware(func() (time.Duration, error) { return time.Since(began), nil }, steady, func(time.Duration, error) {})
 	assert.NilError(t, err)
 	s.CheckInterval = time.Nanosecond
-	return clock.Clock{NowFunc: s.Now} // the model's time of day stands still with the steady clock, so that of Now is right
+	return clock.Clock{NowFunc: s.Now} // the model's time of day stops together with the steady clock, so the one of Now is right
 }
 
 var testCapacity = job.Size{CPU: 16000, MemoryMB: 32768}
 
-// TestScripts plays every script of testdata.
+// TestScripts runs every script of testdata.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	assert.NilError(t, err)
@@ -167,16 +167,16 @@
 			meta, err := toml.Decode(string(data), &s)
 			assert.NilError(t, err)
 			assert.Equal(t, len(meta.Undecoded()), 0, "%v", meta.Undecoded())
-			play(t, s)
+			runScript(t, s)
 		})
 	}
 }
 
-// play plays a script in a bubble with a clock of its own.
-func play(t *testing.T, s script) {
+// runScript runs a script with a fake clock of its own.
+func runScript(t *testing.T, s script) {
 	synctest.Test(t, func(t *testing.T) {
-		st := &stage{
-			t: t, script: s, world: world.New(s.Seed), began: time.Now(), open: make(map[string]map[job.ID]string),
+		st := &scenario{
+			t: t, script: s, world: world.New(s.Seed), began: time.Now(), jobOwners: make(map[string]map[job.ID]string),
 			random: rand.New(rand.NewPCG(s.Seed, 1)),
 		}
 		st.build()
@@ -185,21 +185,21 @@
 			st.jobs.Go(func() { st.submit(ctx, j) })
 		}
 		for _, e := range s.Events {
-			time.AfterFunc(e.At.Std(), func() { st.happen(e) })
+			time.AfterFunc(e.At.Std(), func() { st.applyEvent(e) })
 		}
 		time.Sleep(s.Until.Std())
-		st.judge()
+		st.verify()
 		cancel()
 		for _, n := range st.nodes {
 			n.stop()
 		}
 		st.jobs.Wait()
-		st.judgeJobs()
+		st.verifyJobs()
 	})
 }
 
-// build brings up the platform and the nodes.
-func (st *stage) build() {
+// build starts the platform and the nodes.
+func (st *scenario) build() {
 	st.pools = []config.Pool{{Name: world.Headroom, Headroom: true}}
 	for _, p := range st.script.Pools {
 		st.pools = append(st.pools, config.Pool{Name: p.Name})
@@ -224,14 +224,15 @@
 	}
 	st.configure(1)
 	for i := range st.script.Nodes {
-		n := &stagedNode{name: fmt.Sprintf("n%d", i+1), number: i + 1}
+		n := &scenarioNode{name: fmt.Sprintf("n%d", i+1), number: i + 1}
 		st.nodes = append(st.nodes, n)
 		st.start(n)
 	}
 }
 
-// configure writes the next version of the configuration, with a part of the customers' limits.
-func (st *stage) configure(part float64) {
+// configure writes the next version of the configuration, with the customers' limits scaled by a
+// factor.
+func (st *scenario) configure(part float64) {
 	var customers []config.Customer
 	for _, c := range st.script.Customers {
 		limit := job.Size{CPU: c.CPU, MemoryMB: c.MemoryMB}
@@ -246,11 +247,11 @@
 // storeParts is how many partitions each topic of the store has.
 const storeParts = 8
 
-// ticketTime is how long a ticket holds.
+// ticketTime is how long a ticket is valid.
 const ticketTime = 3 * time.Second
 
-// start brings a node up.
-func (st *stage) start(n *stagedNode) {
+// start starts a node.
+func (st *scenario) start(n *scenarioNode) {
 	s := setting.Node{}
 	s.Node.Name, s.Node.Address, s.Node.Cores = n.name, n.name, 1
 	if cores := st.script.Cores; len(cores) > 0 {
@@ -276,31 +277,31 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.node, n.cancel, n.gone = fresh, cancel, make(chan struct{})
+	n.node, n.cancel, n.stopped = fresh, cancel, make(chan struct{})
 	go n.run(ctx)
 }
 
 // run runs the node until it is killed.
-func (n *stagedNode) run(ctx context.Context) {
+func (n *scenarioNode) run(ctx context.Context) {
 	n.mu.Lock()
-	node, gone := n.node, n.gone
+	node, stopped := n.node, n.stopped
 	n.mu.Unlock()
 	node.Run(ctx)
-	close(gone)
+	close(stopped)
 }
 
 // stop ends the node at once.
-func (n *stagedNode) stop() {
+func (n *scenarioNode) stop() {
 	n.mu.Lock()
-	cancel, gone := n.cancel, n.gone
+	cancel, stopped := n.cancel, n.stopped
 	n.node = nil
 	n.mu.Unlock()
 	cancel()
-	<-gone
+	<-stopped
 }
 
-// live returns a node that is up and ready, nil for none.
-func (st *stage) live() *Node {
+// readyNode returns a node that is running and ready, nil for none.
+func (st *scenario) readyNode() *Node {
 	st.mu.Lock()
 	order := st.random.Perm(len(st.nodes))
 	st.mu.Unlock()
@@ -309,41 +310,41 @@
 		n.mu.Lock()
 		node := n.node
 		n.mu.Unlock()
-		if node != nil && node.Ready() && n.since.Load() == 0 {
+		if node != nil && node.Ready() && n.suspendedAt.Load() == 0 {
 			return node
 		}
 	}
 	return nil
 }
 
-// submit hands in the jobs of one entry, and waits for each to end.
-func (st *stage) submit(ctx context.Context, j scriptJob) {
+// submit submits the jobs of one script entry, and waits for each to end.
+func (st *scenario) submit(ctx context.Context, j scriptJob) {
 	time.Sleep(j.At.Std())
 	for range max(j.Count, 1) {
-		st.jobs.Go(func() { st.one(ctx, j) })
+		st.jobs.Go(func() { st.submitOne(ctx, j) })
 		time.Sleep(j.Gap.Std())
 	}
 }
 
-func (st *stage) one(ctx context.Context, j scriptJob) {
+func (st *scenario) submitOne(ctx context.Context, j scriptJob) {
 	s := st.submission(j)
 	st.world.RecordSubmission(s)
 	st.mu.Lock()
-	if st.open[j.Pool] == nil {
-		st.open[j.Pool] = make(map[job.ID]string)
+	if st.jobOwners[j.Pool] == nil {
+		st.jobOwners[j.Pool] = make(map[job.ID]string)
 	}
-	st.open[j.Pool][s.ID] = s.Customer
+	st.jobOwners[j.Pool][s.ID] = s.Customer
 	if s.HasLongRunning() && !j.crashes() {
-		st.lasting = append(st.lasting, job.StepRef{Job: s.ID})
+		st.longRunning = append(st.longRunning, job.StepRef{Job: s.ID})
 	}
 	st.mu.Unlock()
-	if !st.until(ctx, func(ctx context.Context, n *Node) bool {
+	if !st.retry(ctx, func(ctx context.Context, n *Node) bool {
 		return n.Gateway.Submit(ctx, n.Gateway.Config().Queue(s.Queue), s) == nil
 	}) {
 		return
 	}
-	st.jobs.Go(func() { st.again(ctx, s) })
-	if s.HasLongRunning() && !j.crashes() || st.script.MayStay {
+	st.jobs.Go(func() { st.resubmit(ctx, s) })
+	if s.HasLongRunning() && !j.crashes() || st.script.MayRemain {
 		return
 	}
 	want := job.Completed
@@ -351,10 +352,10 @@
 		want = job.Failed
 	}
 	var last job.State
-	if !st.until(ctx, func(ctx context.Context, n *Node) bool {
+	if !st.retry(ctx, func(ctx context.Context, n *Node) bool {
 		state, err := n.Gateway.State(ctx, n.Gateway.Config().Queue(s.Queue), s.ID, s.Customer)
 		if errkind.Is(err, errkind.Gone) {
-			st.fail("LOST: job %s of %s is not known any more", s.ID, j.Pool)
+			st.fail("LOST: job %s of pool %s is unknown", s.ID, j.Pool)
 			return true
 		}
 		if err == nil {
@@ -363,16 +364,16 @@
 		return err == nil && (state.Final() || state == want)
 	}) || last != want {
 		if last != job.Cancelled && (last.Final() || !st.hasPolicy(j.Pool)) && !st.mayGiveUp(s.ID, last) {
-			st.fail("job %s of %s is %q, not %q; its tasks have failed: %v", s.ID, j.Pool, last, want, st.world.FailedOn(s.ID))
+			st.fail("job %s of pool %s is %q, want %q; failures of its tasks: %v", s.ID, j.Pool, last, want, st.world.FailedOn(s.ID))
 		}
 	}
 }
 
 // suspended reports whether the machine of a node is suspended.
-func (st *stage) suspended(node *Node) bool {
+func (st *scenario) suspended(node *Node) bool {
 	for _, n := range st.nodes {
 		n.mu.Lock()
-		is := n.node == node && n.since.Load() > 0
+		is := n.node == node && n.suspendedAt.Load() > 0
 		n.mu.Unlock()
 		if is {
 			return true
@@ -381,8 +382,8 @@
 	return false
 }
 
-// mayGiveUp reports whether a job may be told as failed though it could be done.
-func (st *stage) mayGiveUp(id job.ID, state job.State) bool {
+// mayGiveUp reports whether a job may be reported as failed although it could be done.
+func (st *scenario) mayGiveUp(id job.ID, state job.State) bool {
 	if state != job.Failed || !st.world.MayGiveUp(id) {
 		return false
 	}
@@ -392,15 +393,14 @@
 	return st.givenUp <= st.script.GiveUp
 }
 
-// hasPolicy reports whether the tasks of a pool need tickets: where few instances are left,
-// the advice service may allow a step on none of them, and its job can't end.
-func (st *stage) hasPolicy(pool string) bool {
+// hasPolicy reports whether the tasks of a pool need tickets: where few instances are left, the
+// advice service may allow a step on none of them, and its job can't end.
+func (st *scenario) hasPolicy(pool string) bool {
 	return slices.ContainsFunc(st.script.Pools, func(p scriptPool) bool { return p.Name == pool && p.Policy })
 }
 
-// again submits a job once more some time after it was accepted, as callers do
-// now and then.
-func (st *stage) again(ctx context.Context, s job.Submission) {
+// resubmit submits a job once more some time after it was accepted, as callers sometimes do.
+func (st *scenario) resubmit(ctx context.Context, s job.Submission) {
 	st.mu.Lock()
 	pause, repeat := time.Duration(st.random.Int64N(int64(repeatWithin))), st.random.IntN(repeatOneIn) == 0
 	st.mu.Unlock()
@@ -408,7 +408,7 @@
 		return
 	}
 	time.Sleep(pause)
-	st.until(ctx, func(ctx context.Context, n *Node) bool {
+	st.retry(ctx, func(ctx context.Context, n *Node) bool {
 		return n.Gateway.Submit(ctx, n.Gateway.Config().Queue(s.Queue), s) == nil
 	})
 }
@@ -419,7 +419,7 @@
 	repeatWithin = 5 * time.Second
 )
 
-func (st *stage) fail(format string, args ...any) {
+func (st *scenario) fail(format string, args ...any) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.failed = append(st.failed, fmt.Sprintf(format, args...))
@@ -431,20 +431,20 @@
 	callPause = 100 * time.Millisecond
 )
 
-// until makes a call at one node after another until it succeeds; it returns false
-// where the script ends first.
-func (st *stage) until(ctx context.Context, do func(ctx context.Context, n *Node) bool) bool {
+// retry makes a call at one node after another until it succeeds; it returns false if the script
+// ends first.
+func (st *scenario) retry(ctx context.Context, do func(ctx context.Context, n *Node) bool) bool {
 	for ctx.Err() == nil {
-		if n := st.live(); n != nil {
+		if n := st.readyNode(); n != nil {
 			bounded, cancel := context.WithTimeout(ctx, callLimit)
 			began := time.Now()
 			done := do(bounded, n)
 			cancel()
 			if st.suspended(n) {
-				continue // the machine of such a node answers nothing
+				continue // the machine of such a node does not respond
 			}
-			if took := time.Since(began); st.script.Answer > 0 && took > st.script.Answer.Std() {
-				st.fail("a call of a caller took %s", took)
+			if duration := time.Since(began); st.script.MaxResponse > 0 && duration > st.script.MaxResponse.Std() {
+				st.fail("a call of a caller took %s", duration)
 			}
 			if done {
 				return true
@@ -455,30 +455,29 @@
 	return false
 }
 
-func (st *stage) submission(j scriptJob) job.Submission {
+func (st *scenario) submission(j scriptJob) job.Submission {
 	st.mu.Lock()
 	id := job.ID(fmt.Sprintf("%016x", st.random.Uint64()))
 	st.mu.Unlock()
 	s := job.Submission{ID: id, Queue: "h/" + j.Pool + "/", Spec: j.Spec, Customer: j.Customer}
 	for _, o := range j.Steps {
 		spec := job.Step{
-			Count: o.Count, Size: job.Size{CPU: o.CPU, MemoryMB: o.MemoryMB}, Estimate: o.Takes.Std(), DependsOn: o.After,
-			LongRunning: o.Lasting, MaxUnavailable: o.MayMiss, MaxPerWorker: o.PerWorker, Gang: o.Gang,
-			LatencyObjective: o.Target.Std(), Backfill: o.Filling,
+			Count: o.Count, Size: job.Size{CPU: o.CPU, MemoryMB: o.MemoryMB}, Estimate: o.RunTime.Std(), DependsOn: o.DependsOn,
+			LongRunning: o.LongRunning, MaxUnavailable: o.MaxUnavailable, MaxPerWorker: o.MaxPerWorker, Gang: o.Gang,
+			LatencyObjective: o.LatencyObjective.Std(), Backfill: o.Backfill,
 		}
 		s.Steps = append(s.Steps, spec)
-		if o.Lasting {
+		if o.LongRunning {
 			s.Spec += " lasts"
 		}
 	}
 	return s
 }
 
-// happen carries out an event.
 // owners returns the epochs of the pools, which rise with each change of an owner.
-func (st *stage) owners() map[string]uint64 {
+func (st *scenario) owners() map[string]uint64 {
 	epochs := make(map[string]uint64)
-	if n := st.live(); n != nil {
+	if n := st.readyNode(); n != nil {
 		v, _ := n.Directory.View()
 		for name, o := range v.Pools {
 			epochs[name] = o.Epoch
@@ -487,52 +486,52 @@
 	return epochs
 }
 
-// judge looks whether all is as it must be.
-func (st *stage) judge() {
+// verify checks the expectations of the script at its end.
+func (st *scenario) verify() {
 	st.t.Helper()
 	for _, v := range st.world.Violations() {
 		st.t.Error(v)
 	}
 	if n := st.world.GangTimeouts(); st.script.Gangs && n > 0 {
-		st.t.Errorf("GANG: %d runs have waited for the others of their gang in vain", n)
+		st.t.Errorf("GANG: %d runs waited in vain for the other members of their gang", n)
 	}
-	owners, gaveUp := st.owners(), st.gaveUpLasting()
-	st.judgeOwners()
+	owners, gaveUp := st.owners(), st.gaveUpLongRunning()
+	st.verifyOwners()
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if st.script.Stay && !maps.Equal(st.epochs, owners) {
-		st.t.Errorf("pools have changed their owners: epochs %v, before %v", owners, st.epochs)
+	if st.script.KeepOwners && !maps.Equal(st.epochs, owners) {
+		st.t.Errorf("pools changed their owners: epochs are %v, were %v", owners, st.epochs)
 	}
-	if st.script.AtWork {
-		for _, ref := range st.lasting {
+	if st.script.AllRunning {
+		for _, ref := range st.longRunning {
 			if n := st.world.WorkingTasks(ref); n < st.want(ref) && !st.mayHaveGivenUp(ref) {
-				st.t.Errorf("of step %s %d tasks are at work, not %d", ref, n, st.want(ref))
+				st.t.Errorf("step %s has %d running tasks, want %d", ref, n, st.want(ref))
 			}
 		}
 	}
 	for _, number := range st.script.Complete {
 		if !st.world.WaveReported(number) && !gaveUp {
-			st.t.Errorf("wave %d is not told as completed; begun: %v", number, st.world.MaintenanceStarted(number))
+			st.t.Errorf("wave %d is not reported as completed; instances begun: %v", number, st.world.MaintenanceStarted(number))
 		}
 	}
 }
 
-// mayHaveGivenUp reports whether the job of a step that lasts may have been given up.
-func (st *stage) mayHaveGivenUp(ref job.StepRef) bool {
+// mayHaveGivenUp reports whether the job of a long-running step may have been given up.
+func (st *scenario) mayHaveGivenUp(ref job.StepRef) bool {
 	return st.script.GiveUp > 0 && st.world.MayGiveUp(ref.Job)
 }
 
-// gaveUpLasting reports whether a job that lasts and may be given up is told as failed. A wave may
-// stand then: what still runs of it serves until its caller cancels, and none may be ended beside
-// those that are away for good.
-func (st *stage) gaveUpLasting() bool {
+// gaveUpLongRunning reports whether a long-running job that may be given up is reported as failed.
+// A wave may then stop: the tasks of that job that still run serve until its caller cancels, and
+// none may be stopped in addition to those that are permanently unavailable.
+func (st *scenario) gaveUpLongRunning() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
 	defer cancel()
-	n := st.live()
+	n := st.readyNode()
 	if n == nil {
 		return false
 	}
-	for id, pool := range st.mayFailLasting() {
+	for id, pool := range st.mayFailLongRunning() {
 		if state, err := n.Gateway.State(ctx, n.Gateway.Config().Queue("h/"+pool+"/"), id, ""); err == nil && state == job.Failed {
 			return true
 		}
@@ -540,14 +539,14 @@
 	return false
 }
 
-// mayFailLasting returns the jobs that last and may have been given up, with their pools. Such
-// jobs of scripts are nobody's.
-func (st *stage) mayFailLasting() map[job.ID]string {
+// mayFailLongRunning returns the long-running jobs that may have been given up, with their pools.
+// Such jobs of scripts belong to no customer.
+func (st *scenario) mayFailLongRunning() map[job.ID]string {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	list := make(map[job.ID]string)
-	for _, ref := range st.lasting {
-		for pool, open := range st.open {
+	for _, ref := range st.longRunning {
+		for pool, open := range st.jobOwners {
 			if _, in := open[ref.Job]; in && st.mayHaveGivenUp(ref) {
 				list[ref.Job] = pool
 			}
@@ -556,9 +555,9 @@
 	return list
 }
 
-// judgeJobs looks whether each job has ended as it must, once all who wait for one have
-// been let go: those that have not ended count as well.
-func (st *stage) judgeJobs() {
+// verifyJobs checks that each job has ended as it must, after everything that waits for one has
+// been released: jobs that have not ended count as well.
+func (st *scenario) verifyJobs() {
 	st.t.Helper()
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -567,10 +566,10 @@
 	}
 }
 
-// judgeOwners looks whether the pools belong to the nodes that may own them.
-func (st *stage) judgeOwners() {
+// verifyOwners checks that the pools belong to the nodes that may own them.
+func (st *scenario) verifyOwners() {
 	st.t.Helper()
-	n := st.live()
+	n := st.readyNode()
 	if n == nil || len(st.script.Owners) == 0 {
 		return
 	}
@@ -583,4 +582,4 @@
 }
 
 // want returns how many tasks of a step there are.
-func (st *stage) want(ref job.StepRef) int { return st.world.TaskCount(ref) }
+func (st *scenario) want(ref job.StepRef) int { return st.world.TaskCount(ref) }
