--- a/models/config/config.go
+++ b/models/config/config.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Config is one version of the operators' configuration; it never changes.
+// Config is one version of the operators' configuration; it is immutable.
 type Config struct {
 	Version uint64
 	Queues  []Queue
 	Pools   []Pool
 	Limits  Limits
-	// Customers are those on whose behalf callers call; see WithCustomers.
+	// Customers are the customers on whose behalf callers call; see WithCustomers.
 	Customers []Customer
 	byHost    map[string][]*Queue
 	byKey     map[string]*Queue
@@ -23,7 +23,7 @@
 	byName    map[string]*Customer
 }
 
-// Queue takes the jobs of a host and path prefix to the workers of a pool.
+// Queue routes the jobs of a host and path prefix to the workers of a pool.
 type Queue struct {
 	Name           string
 	Host           string
@@ -31,31 +31,30 @@
 	Pool           string
 	Priority       int           // 0 comes first and may preempt others
 	MaxAttempts    int           `json:"Attempts"` // failed runs of a task that fail its job, 0 for no limit
-	Stretch        float64       // of a job's longest chain of work, for its objective
+	Stretch        float64       // factor on the longest chain of steps of a job, for its latency objective
 	BaseObjective  time.Duration `json:"Target"` // added to that
-	Advice         *Advice       // nil where every worker may run a step
-	AllowAnonymous bool          `json:"Anyone"` // it takes calls without a key
+	Advice         *Advice       // nil if every worker may run a step
+	AllowAnonymous bool          `json:"Anyone"` // accepts calls without a key
 }
 
-// Key names the queue as long as its host and prefix stand.
+// Key identifies the queue as long as its host and prefix stay the same.
 func (q *Queue) Key() string { return q.Host + q.PathPrefix }
 
-// Advice says what the advice service takes for a queue that it must be asked
-// for.
+// Advice states the response times of the advice service for a queue whose tasks need its advice.
 type Advice struct {
 	CallTime       time.Duration `json:"Decide"` // for one call
-	TimePerWorker  time.Duration `json:"Each"`   // for each worker asked about
-	TicketValidity time.Duration `json:"Valid"`  // how long a ticket holds
+	TimePerWorker  time.Duration `json:"Each"`   // for each worker in a query
+	TicketValidity time.Duration `json:"Valid"`  // how long a ticket is valid
 }
 
 // Pool is a group of instances that run the tasks of queues.
 type Pool struct {
 	Name            string
-	RejectsOverload bool `json:"Guards"` // its workers reject what does not fit; others take whatever they are told
-	Headroom        bool // its instances are off and cost nothing
+	RejectsOverload bool `json:"Guards"` // its workers reject what does not fit; others start every task that they are sent
+	Headroom        bool // its instances are switched off and cost nothing
 }
 
-// Limits bound what a caller may send.
+// Limits bounds what a caller may send.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -78,8 +77,7 @@
 	return c
 }
 
-// Route returns the queue whose prefix is the longest with which the path
-// begins, nil for none.
+// Route returns the queue with the longest prefix of the path, nil for none.
 func (c *Config) Route(host, path string) *Queue {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -106,7 +104,7 @@
 	return nil
 }
 
-// Headroom returns the name of the pool whose instances are off, "" for none.
+// Headroom returns the name of the pool whose instances are switched off, "" for none.
 func (c *Config) Headroom() string {
 	for i := range c.Pools {
 		if c.Pools[i].Headroom {
--- a/models/config/customer.go
+++ b/models/config/customer.go
@@ -11,15 +11,16 @@
 	"github.com/yardbridge/yardbridge/models/job"
 )
 
-// Customer is on whose behalf callers call: what is handed in with one of its keys is its own.
+// Customer is a party on whose behalf callers call: jobs that are submitted with one of its keys
+// belong to it.
 type Customer struct {
 	Name  string
 	Keys  []KeyHash
-	Share float64  // of what there is when not all can be served, against those of the others; 0 counts as 1
-	Limit job.Size // of what it may have running over all pools, 0 for none in that part
+	Share float64  // weight of the customer when not all can be served; 0 counts as 1
+	Limit job.Size // of what may run for it over all pools, 0 for no limit in that dimension
 }
 
-// Weight returns the customer's share, 1 where none is stated.
+// Weight returns the customer's share, 1 if none is set.
 func (c *Customer) Weight() float64 {
 	if c == nil || c.Share <= 0 {
 		return 1
@@ -27,35 +28,35 @@
 	return c.Share
 }
 
-// KeyHash is the SHA-256 sum of a key; the key itself is kept nowhere.
+// KeyHash is the SHA-256 sum of a key; the key itself is not stored.
 type KeyHash [sha256.Size]byte
 
-// MaxKeyBytes is how long a key may be: a longer one is none, so that a call costs no more
-// than the hash of so many bytes.
+// MaxKeyBytes is the length of the longest valid key, so that a call costs at most the hash of that
+// many bytes.
 const MaxKeyBytes = 256
 
-// HashKey returns the hash of a key, and false for a text that can be none.
+// HashKey returns the hash of a key, and false for a text that can't be a key.
 func HashKey(key string) (KeyHash, bool) {
 	if key == "" || len(key) > MaxKeyBytes {
 		return KeyHash{}, false
 	}
-	var text [MaxKeyBytes]byte // the sum of a slice of it takes no memory of its own
+	var text [MaxKeyBytes]byte // a slice of an array avoids an allocation
 	return sha256.Sum256(text[:copy(text[:], key)]), true
 }
 
-// MarshalText writes the hash in hex digits.
+// MarshalText returns the hash in hex digits.
 func (h KeyHash) MarshalText() ([]byte, error) { return []byte(hex.EncodeToString(h[:])), nil }
 
-// UnmarshalText reads a hash that MarshalText has written.
+// UnmarshalText parses the output of MarshalText.
 func (h *KeyHash) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(h) {
-		return fmt.Errorf("the hash of a key has %d hex digits, not %d", hex.EncodedLen(len(h)), len(text))
+		return fmt.Errorf("key hash needs %d hex digits, got %d", hex.EncodedLen(len(h)), len(text))
 	}
 	_, err := hex.Decode(h[:], text)
 	return err
 }
 
-// WithCustomers returns the configuration with other customers.
+// WithCustomers returns a copy of the configuration with other customers.
 func (c *Config) WithCustomers(list []Customer) *Config {
 	next := *c
 	next.Customers = list
@@ -70,8 +71,8 @@
 	return &next
 }
 
-// CustomerByKey returns the customer that holds a key, nil for none. Keys are found by their
-// hash, so that the time it takes tells nothing of the keys that there are.
+// CustomerByKey returns the customer that a key belongs to, nil for none. Keys are looked up by
+// their hash, so that the time of a lookup reveals nothing about the existing keys.
 func (c *Config) CustomerByKey(key string) *Customer {
 	h, could := HashKey(key)
 	if !could {
--- a/models/config/customer_test.go
+++ b/models/config/customer_test.go
@@ -13,7 +13,7 @@
 )
 
 // many returns a configuration with customers of four keys each.
-func many(customers int) *Config {
+func configWith(customers int) *Config {
 	list := make([]Customer, customers)
 	for i := range list {
 		list[i].Name = fmt.Sprint("customer-", i)
@@ -27,9 +27,9 @@
 
 func keyOf(customer, key int) string { return fmt.Sprintf("%020d-%d", customer, key) }
 
-// TestHolder finds customers by each of their keys, and none by another text.
-func TestHolder(t *testing.T) {
-	c := many(20)
+// TestHolder checks that customers are found by each of their keys, and none by another text.
+func TestCustomerByKey(t *testing.T) {
+	c := configWith(20)
 	for i := range 20 {
 		for k := range 4 {
 			assert.Equal(t, c.CustomerByKey(keyOf(i, k)), c.Customer(fmt.Sprint("customer-", i)))
@@ -42,10 +42,10 @@
 	assert.Assert(t, none.CustomerByKey(keyOf(1, 1)) == nil)
 }
 
-// TestConfigurationPassesBetweenNodes: what one node has read another takes over, and no
-// key stands in it.
+// TestConfigurationPassesBetweenNodes checks that a configuration can be passed from node to node,
+// and that its encoding contains no key.
 func TestConfigurationPassesBetweenNodes(t *testing.T) {
-	c := many(2)
+	c := configWith(2)
 	text, err := json.Marshal(c)
 	assert.NilError(t, err)
 	assert.Assert(t, !strings.Contains(string(text), keyOf(1, 1)))
@@ -55,15 +55,15 @@
 	assert.Equal(t, again.CustomerByKey(keyOf(1, 1)).Name, "customer-1")
 }
 
-// TestKeyTakesNoMemory: a call's key is looked up without an allocation.
-func TestKeyTakesNoMemory(t *testing.T) {
-	c, key := many(1000), keyOf(7, 3)
+// TestKeyTakesNoMemory checks that the lookup of a key does not allocate.
+func TestKeyLookupDoesNotAllocate(t *testing.T) {
+	c, key := configWith(1000), keyOf(7, 3)
 	assert.Equal(t, testing.AllocsPerRun(100, func() { c.CustomerByKey(key) }), 0.0)
 }
 
-// BenchmarkHolder looks one key up among 1,000 customers with four each.
-func BenchmarkHolder(b *testing.B) {
-	c, key := many(1000), keyOf(7, 3)
+// BenchmarkHolder looks up one key among 1,000 customers with four keys each.
+func BenchmarkCustomerByKey(b *testing.B) {
+	c, key := configWith(1000), keyOf(7, 3)
 	b.ReportAllocs()
 	for b.Loop() {
 		c.CustomerByKey(key)
--- a/models/fleet/doc.go
+++ b/models/fleet/doc.go
@@ -1,5 +1,5 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package fleet describes the platform's workers and where they stand.
+// Package fleet describes the platform's workers and their locations.
 package fleet
--- a/models/fleet/worker.go
+++ b/models/fleet/worker.go
@@ -3,7 +3,7 @@
 
 package fleet
 
-// Condition is what the platform's instance list says of a worker.
+// Condition is the state of a worker in the platform's instance list.
 type Condition string
 
 // The conditions of a worker on the platform's list.
@@ -13,7 +13,7 @@
 	Gone    Condition = "gone"
 )
 
-// Worker is one machine of the platform as its instance list shows it.
+// Worker is one machine of the platform as listed in its instance list.
 type Worker struct {
 	ID           string    `json:"id"`
 	Address      string    `json:"address"` // IP and port of its target
@@ -23,16 +23,16 @@
 	Cores        int       `json:"cores"`
 	MemoryGB     int       `json:"memory_gb"`
 	Accelerators int       `json:"accelerators,omitempty"`
-	Slots        int       `json:"slots"`          // requests at once
-	Connections  int       `json:"connections"`    // connections at once
-	BootCount    int       `json:"boot,omitempty"` // grows with each reboot
+	Slots        int       `json:"slots"`          // concurrent requests
+	Connections  int       `json:"connections"`    // concurrent connections
+	BootCount    int       `json:"boot,omitempty"` // increases with each reboot
 	Condition    Condition `json:"condition"`
 }
 
-// Equal reports whether two sightings of a worker tell the same.
+// Equal reports whether two entries of a worker are the same.
 func (w Worker) Equal(o Worker) bool { return w == o }
 
-// WithCondition returns the worker in another condition.
+// WithCondition returns a copy of the worker in another condition.
 func (w Worker) WithCondition(c Condition) Worker {
 	w.Condition = c
 	return w
--- a/models/job/check.go
+++ b/models/job/check.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// The bounds of a submission. Those of sizes only keep sums from overflowing;
-// the longest text is the platform's.
+// The bounds of a submission. Those of sizes only prevent sums from overflowing; the maximum length
+// of a specification is the platform's.
 const (
 	idDigits    = 16
 	maxSpec     = 4000 // bytes
 	maxSteps    = 1000
 	maxCount    = 100_000   // tasks of a step
-	maxTasks    = 1_000_000 // of all times together
+	maxTasks    = 1_000_000 // of all rounds together
 	maxCPU      = 1 << 30   // thousandths of a core
 	maxMemory   = 1 << 30   // MiB
 	maxGPU      = 1 << 20
@@ -23,36 +23,36 @@
 	maxEstimate = 10 * 365 * 24 * time.Hour
 )
 
-// CheckID returns what is wrong with the name of a job, nil for nothing.
+// CheckID returns an error for an invalid job ID, and nil for a valid one.
 func CheckID(id string) error {
 	if len(id) != idDigits {
-		return fmt.Errorf("the job's name %q must have %d hex digits", id, idDigits)
+		return fmt.Errorf("job ID %q must have %d hex digits", id, idDigits)
 	}
 	for _, c := range id {
 		if c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F' {
 			continue
 		}
-		return fmt.Errorf("the job's name %q must have hex digits only", id)
+		return fmt.Errorf("job ID %q must contain hex digits only", id)
 	}
 	return nil
 }
 
-// Check returns the first thing that is wrong with a submission, nil for none.
+// Check returns the first error of a submission, nil for none.
 func (s *Submission) Check() error {
 	if err := CheckID(string(s.ID)); err != nil {
 		return err
 	}
 	if len(s.Spec) > maxSpec {
-		return fmt.Errorf("the specification has %d bytes; %d are allowed", len(s.Spec), maxSpec)
+		return fmt.Errorf("specification has %d bytes; at most %d are allowed", len(s.Spec), maxSpec)
 	}
 	if len(s.Steps) == 0 || len(s.Steps) > maxSteps {
-		return fmt.Errorf("%d steps; 1 to %d are allowed", len(s.Steps), maxSteps)
+		return fmt.Errorf("job has %d steps; 1 to %d are allowed", len(s.Steps), maxSteps)
 	}
 	if s.RepeatCount < 0 || s.RepeatCount > maxTimes {
-		return fmt.Errorf("%d times; 0 to %d are allowed", s.RepeatCount, maxTimes)
+		return fmt.Errorf("repeat count is %d; 0 to %d are allowed", s.RepeatCount, maxTimes)
 	}
 	if s.Interval < 0 {
-		return fmt.Errorf("the interval %s is negative", s.Interval)
+		return fmt.Errorf("interval %s is negative", s.Interval)
 	}
 	tasks := 0
 	for i := range s.Steps {
@@ -62,7 +62,7 @@
 		tasks += s.Steps[i].Count * s.Rounds()
 	}
 	if tasks > maxTasks {
-		return fmt.Errorf("%d tasks in all; %d are allowed", tasks, maxTasks)
+		return fmt.Errorf("job has %d tasks in total; at most %d are allowed", tasks, maxTasks)
 	}
 	return nil
 }
@@ -78,8 +78,8 @@
 		{"processors", s.Size.CPU, 0, maxCPU},
 		{"memory", s.Size.MemoryMB, 0, maxMemory},
 		{"accelerators", s.Size.Accelerators, 0, maxGPU},
-		{"tasks on one worker", s.MaxPerWorker, 0, maxCount},
-		{"tasks that may be away", s.MaxUnavailable, 0, maxCount},
+		{"maximum of tasks on one worker", s.MaxPerWorker, 0, maxCount},
+		{"maximum of unavailable tasks", s.MaxUnavailable, 0, maxCount},
 	}
 	for _, r := range ranges {
 		if r.value < r.least || r.value > r.most {
@@ -87,14 +87,14 @@
 		}
 	}
 	if s.Estimate < 0 || s.Estimate > maxEstimate {
-		return fmt.Errorf("the estimate %s is out of range", s.Estimate)
+		return fmt.Errorf("estimate %s is out of range", s.Estimate)
 	}
 	if s.LatencyObjective < 0 {
-		return fmt.Errorf("the latency target %s is negative", s.LatencyObjective)
+		return fmt.Errorf("latency objective %s is negative", s.LatencyObjective)
 	}
 	for _, a := range s.DependsOn {
 		if a < 0 || a >= number {
-			return fmt.Errorf("it follows step %d; only earlier steps are allowed", a)
+			return fmt.Errorf("depends on step %d; only earlier steps are allowed", a)
 		}
 	}
 	return nil
--- a/models/job/doc.go
+++ b/models/job/doc.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package job holds the submitted jobs of callers: what they ask for, how
-// their tasks are named and what state they are in.
+// Package job holds the jobs that callers submit: their requirements, the names of their tasks and
+// their states.
 package job
--- a/models/job/task.go
+++ b/models/job/task.go
@@ -9,43 +9,43 @@
 	"strings"
 )
 
-// StepRef names a step of one time of a job.
+// StepRef identifies a step of one round of a job.
 type StepRef struct {
 	Job   ID
-	Round int // 0 for a job without times
+	Round int // 0 for a job without a repeat count
 	Step  int
 }
 
-// String returns the name that workers and the advice service know.
+// String returns the name that workers and the advice service use.
 func (r StepRef) String() string {
 	return string(r.Job) + "." + strconv.Itoa(r.Round) + "." + strconv.Itoa(r.Step)
 }
 
-// TaskRef names a task.
+// TaskRef identifies a task.
 type TaskRef struct {
 	StepRef
 	Index int
 }
 
-// String returns the name that workers know.
+// String returns the name that workers use.
 func (r TaskRef) String() string {
 	return r.StepRef.String() + "." + strconv.Itoa(r.Index)
 }
 
-// taskParts is how many parts the name of a task has.
+// taskParts is the number of parts of a task name.
 const taskParts = 4
 
-// ParseTask reads the name of a task.
+// ParseTask parses a task name.
 func ParseTask(name string) (TaskRef, error) {
 	parts := strings.Split(name, ".")
 	if len(parts) != taskParts {
-		return TaskRef{}, fmt.Errorf("%q is no name of a task", name)
+		return TaskRef{}, fmt.Errorf("invalid task name %q", name)
 	}
 	var numbers [taskParts - 1]int
 	for i, p := range parts[1:] {
 		n, err := strconv.Atoi(p)
 		if err != nil || n < 0 {
-			return TaskRef{}, fmt.Errorf("%q is no name of a task", name)
+			return TaskRef{}, fmt.Errorf("invalid task name %q", name)
 		}
 		numbers[i] = n
 	}
--- a/models/manifest/defaults.go
+++ b/models/manifest/defaults.go
@@ -10,7 +10,7 @@
 	"github.com/yardbridge/yardbridge/modules/tomlfile"
 )
 
-// The defaults of what a file leaves out.
+// The defaults of omitted values.
 const (
 	DefaultDeadline    = 2 * time.Second
 	DefaultQueueLength = 128
--- a/models/manifest/file.go
+++ b/models/manifest/file.go
@@ -7,10 +7,10 @@
 	"github.com/yardbridge/yardbridge/modules/tomlfile"
 )
 
-// MaxFileBytes is the size of the largest declarative file that is read.
+// MaxFileBytes is the maximum size of a declarative file.
 const MaxFileBytes = 1 << 20
 
-// File is one declarative file; it is the whole of its deployment.
+// File is one declarative file; it describes its deployment completely.
 type File struct {
 	Deployment  string        `toml:"deployment"`
 	Teams       []Team        `toml:"team"`
@@ -21,10 +21,10 @@
 	Maintenance []Maintenance `toml:"maintenance"`
 }
 
-// Parse reads a declarative file and returns all that is wrong with it.
+// Parse parses a declarative file and returns all problems of it.
 func Parse(name, data string) (File, tomlfile.Problems) {
 	if len(data) > MaxFileBytes {
-		return File{}, tomlfile.Problems{{File: name, Message: "larger than 1 MiB, the largest file allowed"}}
+		return File{}, tomlfile.Problems{{File: name, Message: "file is larger than 1 MiB, the largest size allowed"}}
 	}
 	var f File
 	problems, isTOML := tomlfile.Decode(name, data, &f)
--- a/models/manifest/manifest_test.go
+++ b/models/manifest/manifest_test.go
@@ -13,7 +13,7 @@
 	"github.com/yardbridge/yardbridge/models/state"
 )
 
-func TestExamplesAreInOrder(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	for _, name := range []string{"tablehold", "haddad"} {
 		example, err := examples.Get(name)
 		assert.NilError(t, err)
@@ -24,8 +24,8 @@
 	}
 }
 
-// FuzzParse checks that any text is refused with a reason or leads to objects
-// that can be encoded and named.
+// FuzzParse checks that any text is either rejected with a reason or leads to objects that can be
+// encoded and have names.
 func FuzzParse(f *testing.F) {
 	for _, name := range []string{"tablehold", "haddad"} {
 		example, err := examples.Get(name)
@@ -42,7 +42,7 @@
 		}
 		for _, o := range file.Objects() {
 			if o.Ref().Name == "" {
-				t.Fatalf("an object without a name was let through: %+v", o)
+				t.Fatalf("an object without a name was accepted: %+v", o)
 			}
 			state.Sum(o)
 		}
--- a/models/manifest/object.go
+++ b/models/manifest/object.go
@@ -10,13 +10,13 @@
 	"github.com/yardbridge/yardbridge/modules/tomlfile"
 )
 
-// SparePool is the pool of all workers that no declared pool holds.
+// SparePool is the pool of all workers that are in no declared pool.
 const SparePool = "spare"
 
-// Kind names a sort of declarative object.
+// Kind is the kind of a declarative object.
 type Kind string
 
-// The sorts of declarative objects.
+// The kinds of declarative objects.
 const (
 	KindTeam        Kind = "team"
 	KindCustomer    Kind = "customer"
@@ -26,7 +26,7 @@
 	KindMaintenance Kind = "maintenance"
 )
 
-// Ref names one declarative object.
+// Ref identifies a declarative object.
 type Ref struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
@@ -82,28 +82,28 @@
 	QuotaAccelerators int    `toml:"quota_accelerators" json:"quota_accelerators"`
 }
 
-// Customer is on whose behalf callers call, and whose jobs run.
+// Customer is a party on whose behalf callers call, and whose jobs run.
 type Customer struct {
 	Name              string   `toml:"name" json:"name"`
 	Team              string   `toml:"team" json:"team"`
-	Keys              []string `toml:"keys" json:"keys"`   // SHA-256 sums of its keys in hex digits; the keys themselves stand nowhere
-	Share             float64  `toml:"share" json:"share"` // of what there is when not all can run, against those of the others
+	Keys              []string `toml:"keys" json:"keys"`   // SHA-256 sums of its keys in hex digits; the keys themselves are not stored
+	Share             float64  `toml:"share" json:"share"` // weight of the customer when not all can run
 	LimitCores        int      `toml:"limit_cores" json:"limit_cores"`
 	LimitMemoryGB     int      `toml:"limit_memory_gb" json:"limit_memory_gb"`
-	LimitAccelerators int      `toml:"limit_accelerators" json:"limit_accelerators"` // that its jobs may hold over all pools, 0 for no limit
+	LimitAccelerators int      `toml:"limit_accelerators" json:"limit_accelerators"` // that its jobs may use over all pools, 0 for no limit
 }
 
-// Pool asks for instances and states the budget that must hold.
+// Pool requests instances and states the availability budget that must be kept.
 type Pool struct {
 	Name          string        `toml:"name" json:"name"`
 	Team          string        `toml:"team" json:"team"`
 	Size          int           `toml:"size" json:"size"`           // instances wanted
 	MinAvailable  int           `toml:"available" json:"available"` // instances in service that must stay
-	FailureDomain FailureDomain `toml:"survive" json:"survive"`     // domain whose loss leaves Available
+	FailureDomain FailureDomain `toml:"survive" json:"survive"`     // domain whose loss must leave MinAvailable
 	Kinds         []string      `toml:"kinds" json:"kinds"`         // kinds of worker allowed, empty for all
 }
 
-// Service is what callers ask for; its targets are the instances of a pool.
+// Service is what callers send requests to; its targets are the instances of a pool.
 type Service struct {
 	Name        string            `toml:"name" json:"name"`
 	Team        string            `toml:"team" json:"team"`
@@ -112,8 +112,8 @@
 	Deadline    tomlfile.Duration `toml:"deadline" json:"deadline"`     // for one request
 	Repeatable  []string          `toml:"repeatable" json:"repeatable"` // methods that may be sent twice
 	QueueLength int               `toml:"queue" json:"queue"`           // requests that may wait at an entry
-	Stream      bool              `toml:"stream" json:"stream"`         // answers have no deadline once begun
-	// CustomersOnly has it take requests with a customer's key only.
+	Stream      bool              `toml:"stream" json:"stream"`         // responses have no deadline once begun
+	// CustomersOnly restricts the service to requests with a customer's key.
 	CustomersOnly bool `toml:"customers_only" json:"customers_only"`
 }
 
@@ -122,19 +122,19 @@
 	Name         string            `toml:"name" json:"name"`
 	Team         string            `toml:"team" json:"team"`
 	Pool         string            `toml:"pool" json:"pool"`
-	Customer     string            `toml:"customer" json:"customer"` // whose job it is, empty for nobody's
+	Customer     string            `toml:"customer" json:"customer"` // owner of the job, empty for none
 	Class        Class             `toml:"class" json:"class"`
 	Cores        int               `toml:"cores" json:"cores"`
 	MemoryGB     int               `toml:"memory_gb" json:"memory_gb"`
 	Accelerators int               `toml:"accelerators" json:"accelerators"`
-	RunTime      tomlfile.Duration `toml:"run_time" json:"run_time"`     // declared, often wrong
+	RunTime      tomlfile.Duration `toml:"run_time" json:"run_time"`     // declared, often inaccurate
 	FinishBy     string            `toml:"finish_by" json:"finish_by"`   // HH:MM in UTC, empty for none
 	DailyAt      string            `toml:"daily_at" json:"daily_at"`     // HH:MM in UTC, empty for once
 	Repeatable   bool              `toml:"repeatable" json:"repeatable"` // may be run again
-	Command      string            `toml:"command" json:"command"`       // what the worker is told to run
+	Command      string            `toml:"command" json:"command"`       // command that the worker runs
 }
 
-// Maintenance says how often every instance of a deployment is rebooted.
+// Maintenance states how often every instance of a deployment is rebooted.
 type Maintenance struct {
 	Name   string            `toml:"name" json:"name"`
 	Period tomlfile.Duration `toml:"period" json:"period"`
@@ -142,11 +142,11 @@
 	Until  string            `toml:"until" json:"until"`
 }
 
-// DueFraction is the part of the period after which an instance is due, so that a
-// blocked one has the rest of the period to get its turn.
+// DueFraction is the fraction of the period after which an instance is due, so that a blocked one
+// has the remainder of the period for its maintenance.
 const DueFraction = 0.8
 
-// PeriodFraction returns a part of the period.
+// PeriodFraction returns a fraction of the period.
 func (m *Maintenance) PeriodFraction(share float64) time.Duration {
 	return time.Duration(float64(m.Period.Std()) * share)
 }
@@ -180,8 +180,8 @@
 	return Ref{}
 }
 
-// Owner returns the team that may change the object; a team owns itself and
-// maintenance belongs to nobody.
+// Owner returns the team that may change the object; a team owns itself, and maintenance has no
+// owner.
 func (o Object) Owner() string {
 	switch {
 	case o.Team != nil:
@@ -203,7 +203,7 @@
 	return slices.Contains(s.Repeatable, method)
 }
 
-// AcceptsKind reports whether the pool takes workers of a kind.
+// AcceptsKind reports whether the pool accepts workers of a kind.
 func (p *Pool) AcceptsKind(kind string) bool {
 	return len(p.Kinds) == 0 || slices.Contains(p.Kinds, kind)
 }
--- a/models/record/batch.go
+++ b/models/record/batch.go
@@ -11,33 +11,33 @@
 	"github.com/yardbridge/yardbridge/modules/codec"
 )
 
-// Schema is the version of the records that this release writes; a reader
-// passes over records that it does not know.
+// Schema is the version of the records that this release writes; a reader skips records that it
+// does not know.
 const Schema = 1
 
-// Batch is what one append carries: records of one writer, in order.
+// Batch is the content of one append: records of one writer, in order.
 type Batch struct {
 	Schema      int      `cbor:"1,keyasint"`
 	Writer      string   `cbor:"2,keyasint"` // entry name
-	Incarnation uint64   `cbor:"3,keyasint"` // start of the process, grows with each
-	Sequence    uint64   `cbor:"4,keyasint"` // from 1, grows with each new batch
+	Incarnation uint64   `cbor:"3,keyasint"` // start of the process, increases with each
+	Sequence    uint64   `cbor:"4,keyasint"` // from 1, increases with each new batch
 	Records     []Record `cbor:"5,keyasint"`
 }
 
 // Stored is a batch as the log returns it.
 type Stored struct {
 	Offset uint64
-	At     time.Time // when the log took it, by the platform's clock
+	At     time.Time // when the log accepted it, by the platform's clock
 	Data   []byte
 }
 
-// Encode returns the batch's bytes.
+// Encode returns the encoded batch.
 func (b Batch) Encode() ([]byte, error) {
 	data, err := codec.Marshal(b)
 	return data, errors.Annotate(err, "encoding a batch")
 }
 
-// Decode reads the batch of a stored append.
+// Decode decodes the batch of a stored append.
 func Decode(data []byte) (Batch, error) {
 	var b Batch
 	if err := codec.Unmarshal(data, &b); err != nil {
--- a/models/record/record.go
+++ b/models/record/record.go
@@ -10,8 +10,8 @@
 	"github.com/yardbridge/yardbridge/models/manifest"
 )
 
-// Record is one proposal; exactly one of its fields is not nil. A record of a
-// newer release has none that this release knows.
+// Record is one proposal; exactly one of its fields is not nil. A record type of a newer release
+// sets none of the fields that this release knows.
 type Record struct {
 	Join       *Join       `cbor:"1,keyasint,omitempty"`
 	Leave      *Leave      `cbor:"2,keyasint,omitempty"`
@@ -35,22 +35,22 @@
 	Snapshot   *Snapshot   `cbor:"20,keyasint,omitempty"`
 }
 
-// Join enters the writer's process into the roster of entries.
+// Join adds the writer's process to the membership of entries.
 type Join struct {
 	Address    string `cbor:"1,keyasint"` // IP and port for peers
 	DataCenter string `cbor:"2,keyasint"`
 }
 
-// Leave takes the writer out of the roster after it has finished its work.
+// Leave removes the writer from the membership after it has finished its work.
 type Leave struct{}
 
-// Gone takes a process out of the roster that the platform no longer lists.
+// Gone removes a process from the membership that the platform no longer lists.
 type Gone struct {
 	Entry       string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
-// Role is a duty that one entry at a time carries, to save effort.
+// Role is a task that one entry at a time carries out, to avoid duplicate work.
 type Role string
 
 // The roles that are leased.
@@ -63,13 +63,13 @@
 // Roles returns every leased role.
 func Roles() []Role { return []Role{RolePools, RoleJobs, RoleSnapshots} }
 
-// Lease takes or renews a role for the writer.
+// Lease acquires or renews a role for the writer.
 type Lease struct {
 	Role Role          `cbor:"1,keyasint"`
 	TTL  time.Duration `cbor:"2,keyasint"`
 }
 
-// Apply replaces declarative objects as a whole.
+// Apply replaces whole declarative objects.
 type Apply struct {
 	Deployment string            `cbor:"1,keyasint"`
 	Base       uint64            `cbor:"2,keyasint"` // version that it was written against
@@ -78,21 +78,21 @@
 	Operator   string            `cbor:"5,keyasint,omitempty"`
 }
 
-// ListUpdate reports what changed on the platform's instance list.
+// ListUpdate reports changes of the platform's instance list.
 type ListUpdate struct {
-	Revision uint64         `cbor:"1,keyasint"`           // of the list, never goes back
+	Revision uint64         `cbor:"1,keyasint"`           // of the list, never decreases
 	Workers  []fleet.Worker `cbor:"2,keyasint,omitempty"` // that changed
-	Entries  []string       `cbor:"3,keyasint,omitempty"` // of the roster, listed for the first time
+	Entries  []string       `cbor:"3,keyasint,omitempty"` // of the membership, listed for the first time
 }
 
-// Move puts a worker that serves nothing into another pool.
+// Move puts an idle worker into another pool.
 type Move struct {
 	Worker  string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
 	To      string `cbor:"3,keyasint"`
 }
 
-// Purpose says why a worker is drained.
+// Purpose is the reason why a worker is drained.
 type Purpose string
 
 // The purposes of a drain.
@@ -109,8 +109,8 @@
 	To      string  `cbor:"4,keyasint,omitempty"` // the new pool of a move
 }
 
-// Drained states that no entry has a request in flight on the worker; only
-// the owner of its slots can know.
+// Drained states that no entry has a request in flight on the worker; only the owner of its slots
+// can know.
 type Drained struct {
 	Worker string `cbor:"1,keyasint"`
 	Epoch  uint64 `cbor:"2,keyasint"` // of the ownership
@@ -128,7 +128,7 @@
 	Version uint64 `cbor:"2,keyasint"`
 }
 
-// Handoff passes the ownership of a worker's slots on.
+// Handoff passes on the ownership of a worker's slots.
 type Handoff struct {
 	Worker string `cbor:"1,keyasint"`
 	Epoch  uint64 `cbor:"2,keyasint"`
@@ -145,11 +145,11 @@
 type Result struct {
 	Key    string `cbor:"1,keyasint"`
 	NotRun bool   `cbor:"2,keyasint,omitempty"` // frees the key: no byte was sent
-	Reply  *Reply `cbor:"3,keyasint,omitempty"` // nil where the outcome is unknown
+	Reply  *Reply `cbor:"3,keyasint,omitempty"` // nil if the outcome is unknown
 	Claim  uint64 `cbor:"4,keyasint"`           // offset of the claim that ends
 }
 
-// Reply is the answer that is kept for a repeat of a claimed request.
+// Reply is the response that is kept for a repetition of a claimed request.
 type Reply struct {
 	Status      int    `cbor:"1,keyasint"`
 	ContentType string `cbor:"2,keyasint,omitempty"`
@@ -157,7 +157,7 @@
 	Omitted     bool   `cbor:"4,keyasint,omitempty"` // the body was too large to keep
 }
 
-// Submit asks for one run of a job.
+// Submit requests one run of a job.
 type Submit struct {
 	ID       string       `cbor:"1,keyasint"` // a once-key, or name@date for declared jobs
 	Job      manifest.Job `cbor:"2,keyasint"`
@@ -172,13 +172,13 @@
 // Place assigns a pending job to a worker; the writer alone may start it.
 type Place struct {
 	ID       string `cbor:"1,keyasint"`
-	Attempt  int    `cbor:"2,keyasint"` // one more than the last
+	Attempt  int    `cbor:"2,keyasint"` // one more than the previous one
 	Worker   string `cbor:"3,keyasint"`
-	Cores    int    `cbor:"4,keyasint"` // size it is placed by
+	Cores    int    `cbor:"4,keyasint"` // reserved size
 	MemoryGB int    `cbor:"5,keyasint"`
 }
 
-// RunState is how far a job is.
+// RunState is the state of a job run.
 type RunState string
 
 // The states of a job.
@@ -189,20 +189,20 @@
 	Done      RunState = "done"
 	Failed    RunState = "failed"
 	Cancelled RunState = "cancelled"
-	Unknown   RunState = "unknown" // may have run, is never run again by itself
+	Unknown   RunState = "unknown" // may have run, is never repeated automatically
 )
 
-// Progress reports what became of a placed job.
+// Progress reports the state of a placed job.
 type Progress struct {
 	ID      string   `cbor:"1,keyasint"`
 	Attempt int      `cbor:"2,keyasint"`
 	State   RunState `cbor:"3,keyasint"`
 	Reason  string   `cbor:"4,keyasint,omitempty"`
-	Cores   int      `cbor:"5,keyasint,omitempty"` // as used, 0 for not known
-	NotRun  bool     `cbor:"6,keyasint,omitempty"` // the attempt surely never began
+	Cores   int      `cbor:"5,keyasint,omitempty"` // used, 0 if not known
+	NotRun  bool     `cbor:"6,keyasint,omitempty"` // the attempt is confirmed not to have begun
 }
 
-// Eject keeps new jobs from a worker that fails them, until a time.
+// Eject keeps new jobs away from a worker that fails them, until a time.
 type Eject struct {
 	Worker string    `cbor:"1,keyasint"`
 	Until  time.Time `cbor:"2,keyasint"`
@@ -210,9 +210,9 @@
 
 // Snapshot is one chunk of a snapshot of the folded state.
 type Snapshot struct {
-	Offset uint64 `cbor:"1,keyasint"` // the first offset that is not in it
+	Offset uint64 `cbor:"1,keyasint"` // the first offset that is not included
 	Index  int    `cbor:"2,keyasint"`
 	Count  int    `cbor:"3,keyasint"`
-	Sum    []byte `cbor:"4,keyasint"` // SHA-256 of the whole
+	Sum    []byte `cbor:"4,keyasint"` // SHA-256 of the complete snapshot
 	Data   []byte `cbor:"5,keyasint"`
 }
--- a/models/state/budget.go
+++ b/models/state/budget.go
@@ -10,24 +10,24 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// Headroom describes how far a pool is from breaking its budget.
+// Headroom describes how far a pool is from violating its budget.
 type Headroom struct {
 	Serving       int // instances in service on live workers
 	LargestDomain int // of them in the largest failure domain
-	MinAvailable  int // that must stay
+	MinAvailable  int // that must stay in service
 }
 
-// Spare returns how many instances could go while the loss of the largest
-// domain still leaves what must stay; it is negative where it would not.
+// Spare returns how many instances could be removed such that the loss of the largest domain still
+// leaves the required ones; it is negative if too few are in service.
 func (h Headroom) Spare() int { return h.Serving - h.LargestDomain - h.MinAvailable }
 
 // Headroom returns the headroom of a pool without the named workers.
-func (s State) Headroom(p *manifest.Pool, without ...string) Headroom {
-	return s.HeadroomWith(p, nil, without...)
+func (s State) Headroom(p *manifest.Pool, excluded ...string) Headroom {
+	return s.HeadroomWith(p, nil, excluded...)
 }
 
-// HeadroomWith returns the headroom that a pool would have with more instances
-// in service, which may be none, and without the named workers.
+// HeadroomWith returns the headroom that a pool would have with more instances in service, possibly
+// none, and without the named workers.
 func (s State) HeadroomWith(p *manifest.Pool, more []Instance, without ...string) Headroom {
 	h := Headroom{MinAvailable: p.MinAvailable}
 	domains := make(map[string]int)
@@ -43,7 +43,7 @@
 	return h
 }
 
-// domainOf names the failure domain of an instance.
+// domainOf returns the failure domain of an instance.
 func domainOf(d manifest.FailureDomain, i Instance) string {
 	switch d {
 	case manifest.DomainDataCenter:
@@ -54,12 +54,12 @@
 	return i.Worker.DataCenter + "/" + i.Worker.Rack
 }
 
-// CheckDrain returns nil where the instance can be taken out of service and the
-// budget of its pool still holds through the loss of a further domain.
+// CheckDrain returns nil if the instance can be taken out of service and its pool keeps its budget
+// even after the loss of a further domain.
 func (s State) CheckDrain(i Instance) error {
 	p := s.Catalog.Pool(i.Pool)
 	if p == nil || !i.Serving() {
-		return nil // a spare or lost instance carries no budget
+		return nil // a spare or lost instance does not count for a budget
 	}
 	h := s.Headroom(p, i.Worker.ID)
 	if h.Spare() >= 0 {
--- a/models/state/catalog.go
+++ b/models/state/catalog.go
@@ -16,8 +16,8 @@
 	"github.com/yardbridge/yardbridge/modules/table"
 )
 
-// historyLength is how many former contents of an object are remembered, so
-// that a file written against an older base can be told from a clash.
+// historyLength is how many previous versions of an object are kept, so that a file written against
+// an older base can be distinguished from a conflict.
 const historyLength = 16
 
 // Catalog is the accepted configuration.
@@ -35,7 +35,7 @@
 	History    []Revision
 }
 
-// Revision is a former content of an object.
+// Revision is a previous version of an object.
 type Revision struct {
 	Version uint64
 	Sum     [sha256.Size]byte // zero for a deleted object
@@ -45,12 +45,12 @@
 func Sum(o manifest.Object) [sha256.Size]byte {
 	data, err := codec.Marshal(o)
 	if err != nil {
-		panic(err) // objects hold nothing that can't be encoded
+		panic(err) // objects contain nothing that can't be encoded
 	}
 	return sha256.Sum256(data)
 }
 
-// Get returns the object with the reference, and false where it is not there.
+// Get returns the object with the reference, and false if there is none.
 func (c Catalog) Get(r manifest.Ref) (manifest.Object, bool) {
 	e, ok := c.Objects.Get(r.String())
 	if !ok || e.Deleted {
@@ -83,7 +83,7 @@
 	return o.Customer
 }
 
-// Active returns every object that is in force, in order.
+// Active returns every object in force, in order.
 func (c Catalog) Active() []manifest.Object {
 	var objects []manifest.Object
 	for _, e := range c.Objects.All() {
@@ -94,8 +94,7 @@
 	return objects
 }
 
-// Maintenance returns the declared maintenance with the shortest period, nil
-// for none.
+// Maintenance returns the declared maintenance with the shortest period, nil for none.
 func (c Catalog) Maintenance() *manifest.Maintenance {
 	var shortest *manifest.Maintenance
 	for _, o := range c.Active() {
@@ -117,8 +116,8 @@
 	return pools
 }
 
-// sumAt returns the hash that an object had at a version, and false where the
-// history does not reach back that far.
+// sumAt returns the hash that an object had at a version, and false if the history does not reach
+// back that far.
 func (e Entity) sumAt(version uint64) (sum [sha256.Size]byte, known bool) {
 	for _, r := range slices.Backward(e.History) {
 		if r.Version <= version {
@@ -128,7 +127,7 @@
 	return sum, len(e.History) < historyLength
 }
 
-// Change is what a whole file changes against a base.
+// Change is the difference between a complete file and a base version.
 type Change struct {
 	Put    []manifest.Object
 	Delete []manifest.Ref
@@ -137,13 +136,12 @@
 // Empty reports whether nothing changes.
 func (c Change) Empty() bool { return len(c.Put) == 0 && len(c.Delete) == 0 }
 
-// Diff returns what a deployment's file changes against the catalog as it was
-// at the base version; objects that the file left as they were are not part
-// of it, whatever others have made of them since.
+// Diff returns what a deployment's file changes against the catalog at the base version; objects
+// that the file left unchanged are not part of it, even if others have changed them since.
 func (c Catalog) Diff(deployment string, objects []manifest.Object, base uint64) (Change, error) {
 	var change Change
 	if base > c.Version {
-		return change, errkind.New(errkind.Conflict, "base version %d is newer than the newest version %d", base, c.Version)
+		return change, errkind.New(errkind.Conflict, "base version %d is newer than the current version %d", base, c.Version)
 	}
 	named := make(map[manifest.Ref]bool)
 	for _, o := range objects {
@@ -178,13 +176,13 @@
 }
 
 func tooOld(base uint64, r manifest.Ref) error {
-	return errkind.New(errkind.Conflict, "base version %d is too old for %s; read the newest version first", base, r)
+	return errkind.New(errkind.Conflict, "base version %d is too old for %s; read the current version first", base, r)
 }
 
-// With returns the catalog with a change applied as a whole at a version, or a
-// Conflict error that names every object that changed after the base.
+// With returns the catalog with a change applied completely at a version, or a Conflict error that
+// names every object that changed after the base.
 func (c Catalog) With(deployment string, change Change, base, version uint64) (Catalog, error) {
-	if err := c.clash(change, base); err != nil {
+	if err := c.checkConflicts(change, base); err != nil {
 		return c, err
 	}
 	next := Catalog{Version: version, Objects: c.Objects}
@@ -215,7 +213,7 @@
 	return Entity{Object: o, Deployment: deployment, Version: version, History: history}
 }
 
-func (c Catalog) clash(change Change, base uint64) error {
+func (c Catalog) checkConflicts(change Change, base uint64) error {
 	refs := slices.Clone(change.Delete)
 	for _, o := range change.Put {
 		refs = append(refs, o.Ref())
@@ -234,8 +232,7 @@
 	return errkind.New(errkind.Conflict, "written against version %d, but %s", base, strings.Join(clashes, ", "))
 }
 
-// Check returns a BadRequest error where objects refer to others that are not
-// there.
+// Check returns a BadRequest error if objects refer to others that do not exist.
 func (c Catalog) Check() error {
 	names := make(map[manifest.Ref]bool)
 	objects := c.Active()
--- a/models/state/fold.go
+++ b/models/state/fold.go
@@ -10,21 +10,20 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// Verdict is what the fold made of one record: nil for accepted, and else why
+// Verdict is the result of folding one record: nil if it was accepted, and otherwise the reason why
 // it was rejected.
 type Verdict error
 
-// Folded is the outcome of one stored append.
+// Folded is the result of folding one stored append.
 type Folded struct {
 	State    State
 	Batch    record.Batch
-	Verdicts []Verdict // one a record, none for a duplicate or unreadable batch
-	Applied  bool      // false for duplicates and what could not be read
+	Verdicts []Verdict // one per record, none for a duplicate or unreadable batch
+	Applied  bool      // false for duplicates and unreadable batches
 }
 
-// Fold returns the state after one stored append. Appends must come in the
-// order of their offsets; an append that can't be read changes nothing but
-// the offset and the count of unreadable ones.
+// Fold returns the state after one stored append. Appends must come in the order of their offsets;
+// an append that can't be read changes nothing but the offset and the count of unreadable records.
 func (s State) Fold(stored record.Stored) Folded {
 	s.Offset = stored.Offset + 1
 	if stored.At.After(s.Now) {
@@ -35,7 +34,7 @@
 		s.Unreadable++
 		return Folded{State: s.expire()}
 	}
-	s, fresh := s.admitBatch(b)
+	s, fresh := s.acceptBatch(b)
 	if !fresh {
 		return Folded{State: s.expire(), Batch: b}
 	}
@@ -59,9 +58,8 @@
 	incarnation uint64
 }
 
-// admitBatch drops duplicates and what a process wrote that is not, or no
-// longer, part of the roster.
-func (s State) admitBatch(b record.Batch) (State, bool) {
+// acceptBatch drops duplicates, and batches of processes that are not, or no longer, members.
+func (s State) acceptBatch(b record.Batch) (State, bool) {
 	e, known := s.Entries.Get(b.Writer)
 	if !known || b.Incarnation > e.Incarnation {
 		if !startsWithJoin(b) {
@@ -81,7 +79,7 @@
 	return len(b.Records) > 0 && b.Records[0].Join != nil
 }
 
-// foldRecord returns the state after one record, or the reason against it.
+// foldRecord returns the state after one record, or the reason for its rejection.
 func (s State) foldRecord(from author, r record.Record) (State, error) {
 	switch {
 	case r.Join != nil:
@@ -111,8 +109,8 @@
 	return s, nil
 }
 
-// DryRun returns the state as it would be after a record of a process, without
-// appending anything, and the verdict that the record would get now.
+// DryRun returns the state as it would be after a record of a process, and the outcome that the
+// record would have now, without appending anything.
 func (s State) DryRun(entry string, incarnation uint64, r record.Record) (State, Verdict) {
 	next, err := s.foldRecord(author{entry, incarnation}, r)
 	if err != nil {
@@ -121,7 +119,7 @@
 	return next, nil
 }
 
-// foldSnapshot notes that a snapshot is whole, so that the next one can wait.
+// foldSnapshot notes when a snapshot is complete, which delays the next one.
 func (s State) foldSnapshot(c record.Snapshot) State {
 	if c.Index == c.Count-1 && c.Offset > s.SnapshotOffset {
 		s.SnapshotOffset = c.Offset
@@ -130,7 +128,7 @@
 	return s
 }
 
-// foldApply accepts a change of configuration as a whole or not at all.
+// foldApply accepts a change of configuration completely or not at all.
 func (s State) foldApply(a record.Apply) (State, error) {
 	next, err := s.Catalog.With(a.Deployment, Change{Put: a.Put, Delete: a.Delete}, a.Base, s.Offset)
 	if err != nil {
@@ -140,12 +138,12 @@
 	return s, nil
 }
 
-// foldLease gives a role to its holder again, or to another once it is free.
+// foldLease renews a role for its holder, or passes it to another process once it is free.
 func (s State) foldLease(from author, l record.Lease) (State, error) {
-	held, ok := s.Leases.Get(string(l.Role))
-	same := held.Holder == from.name && held.Incarnation == from.incarnation
-	if ok && !same && held.Until.After(s.Now) && s.present(held.Holder, held.Incarnation) {
-		return s, errkind.New(errkind.Conflict, "role %s is held by %s until %s", l.Role, held.Holder, held.Until.UTC().Format(time.RFC3339Nano))
+	current, ok := s.Leases.Get(string(l.Role))
+	same := current.Holder == from.name && current.Incarnation == from.incarnation
+	if ok && !same && current.Until.After(s.Now) && s.present(current.Holder, current.Incarnation) {
+		return s, errkind.New(errkind.Conflict, "role %s is held by %s until %s", l.Role, current.Holder, current.Until.UTC().Format(time.RFC3339Nano))
 	}
 	s.Leases = s.Leases.With(string(l.Role), Lease{
 		Holder:      from.name,
--- a/models/state/fold_claim.go
+++ b/models/state/fold_claim.go
@@ -11,15 +11,15 @@
 	"github.com/yardbridge/yardbridge/modules/oncekey"
 )
 
-// MaxClaims bounds the keys that are remembered at once; past it new keys are
-// refused as not run. With the largest answers kept they take about half of the
-// memory that control may take.
+// MaxClaims bounds the number of keys kept at a time; beyond it new keys are rejected as not run.
+// With responses of the maximum size they take about half of the memory that the control plane may
+// use.
 const MaxClaims = 100_000
 
-// MaxReplyBytes is the largest answer body that is kept for a repeat.
+// MaxReplyBytes is the size of the largest response body that is kept for a repetition.
 const MaxReplyBytes = 1024
 
-// foldClaim gives a key to the first that asks for it.
+// foldClaim assigns a key to the first process that claims it.
 func (s State) foldClaim(from author, c record.Claim) (State, error) {
 	if err := oncekey.Check(c.Key, s.Now); err != nil {
 		return s, err
@@ -28,7 +28,7 @@
 		return s, takenError(old, c.Sum)
 	}
 	if s.Claims.Len() >= MaxClaims {
-		return s, errkind.New(errkind.Overloaded, "%d keys are remembered, the most allowed", MaxClaims)
+		return s, errkind.New(errkind.Overloaded, "%d keys are in use, the maximum allowed", MaxClaims)
 	}
 	s.Claims = s.Claims.With(claimIndex(c.Key), Claim{
 		Entry:       from.name,
@@ -39,24 +39,24 @@
 	return s, nil
 }
 
-// takenError says what became of a key that is taken already.
+// takenError returns the state of a key that is already claimed, as an error.
 func takenError(old Claim, sum []byte) error {
 	switch {
 	case !bytes.Equal(old.Sum, sum):
 		return errkind.New(errkind.BadRequest, "the key was used for another request")
 	case !old.Ended:
-		return errkind.New(errkind.KeyInProgress, "a request with this key is under way, or its outcome is not known")
+		return errkind.New(errkind.KeyInProgress, "a request with this key is in progress, or its outcome is unknown")
 	case old.Reply == nil:
-		return errkind.New(errkind.OutcomeUnknown, "a request with this key was sent and its outcome is not known; it is not sent again")
+		return errkind.New(errkind.OutcomeUnknown, "a request with this key was sent and its outcome is unknown; it is not sent again")
 	}
-	return errkind.New(errkind.AlreadyRun, "a request with this key was run")
+	return errkind.New(errkind.AlreadyRun, "a request with this key has already run")
 }
 
-// foldResult ends a claim; only the process that holds it may.
+// foldResult ends a claim; only its process may do so.
 func (s State) foldResult(from author, r record.Result) (State, error) {
 	c, ok := s.Claims.Get(claimIndex(r.Key))
 	if !ok || c.Entry != from.name || c.Incarnation != from.incarnation || c.Offset != r.Claim || c.Ended {
-		return s, errkind.New(errkind.Conflict, "the key is not claimed by %s", from.name)
+		return s, errkind.New(errkind.Conflict, "key is not claimed by %s", from.name)
 	}
 	if r.NotRun {
 		s.Claims = s.Claims.Without(claimIndex(r.Key))
@@ -68,7 +68,7 @@
 	return s, nil
 }
 
-// claimIndex puts keys in the order of their expiry, whatever their length.
+// claimIndex orders keys by their expiry, whatever their length.
 func claimIndex(key string) string {
 	expiry, err := oncekey.Expiry(key)
 	if err != nil {
@@ -77,13 +77,13 @@
 	return timeKey(expiry) + " " + key
 }
 
-// Claim returns what is known of a key, and false where it is free.
+// Claim returns the claim of a key, and false if the key is free.
 func (s State) Claim(key string) (Claim, bool) {
 	return s.Claims.Get(claimIndex(key))
 }
 
-// expireClaims drops the keys past their expiry; a key carries its expiry, so
-// that it can't be claimed anew afterwards.
+// expireClaims drops the keys past their expiry; a key contains its expiry, so that it can't be
+// claimed again afterwards.
 func (s State) expireClaims() State {
 	bound := timeKey(s.Now)
 	for index := range s.Claims.All() {
--- a/models/state/fold_instance.go
+++ b/models/state/fold_instance.go
@@ -12,13 +12,12 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// foldInstanceRecord folds the records about instances; known is false for
-// records about anything else.
+// foldInstanceRecord folds the records about instances; known is false for all other records.
 func (s State) foldInstanceRecord(from author, r record.Record) (next State, known bool, err error) {
 	known = true
 	switch {
 	case r.ListUpdate != nil:
-		next, err = s.foldSighting(*r.ListUpdate)
+		next, err = s.foldListUpdate(*r.ListUpdate)
 	case r.Move != nil:
 		next, err = s.foldMove(*r.Move)
 	case r.Drain != nil:
@@ -32,22 +31,22 @@
 	case r.Handoff != nil:
 		next, err = s.foldHandoff(from, *r.Handoff)
 	case r.Eject != nil:
-		next, err = s.foldSetAside(*r.Eject)
+		next, err = s.foldEject(*r.Eject)
 	default:
 		return s, false, nil
 	}
 	return next, true, err
 }
 
-// foldSighting takes over what the platform's list shows; an older list than
-// one already folded is rejected.
-func (s State) foldSighting(g record.ListUpdate) (State, error) {
+// foldListUpdate applies changes of the platform's list; a list that is older than a folded one is
+// rejected.
+func (s State) foldListUpdate(g record.ListUpdate) (State, error) {
 	if g.Revision <= s.ListRevision {
 		return s, errkind.New(errkind.Conflict, "list revision %d is not newer than %d", g.Revision, s.ListRevision)
 	}
 	s.ListRevision = g.Revision
 	for _, w := range g.Workers {
-		s = s.see(w)
+		s = s.updateWorker(w)
 	}
 	for _, name := range g.Entries {
 		if e, ok := s.Entries.Get(name); ok {
@@ -58,7 +57,7 @@
 	return s.forgetGone(), nil
 }
 
-func (s State) see(w fleet.Worker) State {
+func (s State) updateWorker(w fleet.Worker) State {
 	i, known := s.Instances.Get(w.ID)
 	if !known {
 		i = Instance{Pool: manifest.SparePool, Phase: InService, MaintainedAt: s.Now}
@@ -75,39 +74,39 @@
 	}
 	s = s.withInstance(i)
 	if lost {
-		return s.loseRuns(w.ID)
+		return s.retryRunsOn(w.ID)
 	}
 	return s
 }
 
-// goneLife is how long a worker that the platform no longer lists keeps its
-// place in its pool; until then its return costs no move.
-const goneLife = time.Hour
+// goneRetention is how long a worker that the platform no longer lists stays a member of its pool;
+// if it returns within that time no move is needed.
+const goneRetention = time.Hour
 
-// forgetGone drops the workers that have been gone for long.
+// forgetGone drops the workers that have been gone for longer than the retention.
 func (s State) forgetGone() State {
 	for id := range s.index.gone.All() {
-		if i, _ := s.Instances.Get(id); s.Now.Sub(i.GoneAt) > goneLife {
+		if i, _ := s.Instances.Get(id); s.Now.Sub(i.GoneAt) > goneRetention {
 			s = s.withoutInstance(id)
 		}
 	}
 	return s
 }
 
-// change returns the instance for a proposal that was decided on a version.
-func (s State) change(worker string, version uint64) (Instance, error) {
+// instanceAt returns the instance for a proposal that was made on one of its versions.
+func (s State) instanceAt(worker string, version uint64) (Instance, error) {
 	i, ok := s.Instances.Get(worker)
 	if !ok {
-		return i, errkind.New(errkind.NotFound, "worker %s is not known", worker)
+		return i, errkind.New(errkind.NotFound, "worker %s is unknown", worker)
 	}
 	if i.Version != version {
-		return i, errkind.New(errkind.Conflict, "worker %s is at version %d, the proposal was made on %d", worker, i.Version, version)
+		return i, errkind.New(errkind.Conflict, "worker %s is at version %d, the proposal was made on version %d", worker, i.Version, version)
 	}
 	return i, nil
 }
 
-// keep stores a changed instance under a new version.
-func (s State) keep(i Instance) State {
+// updateInstance stores a changed instance under a new version.
+func (s State) updateInstance(i Instance) State {
 	if before, _ := s.Instances.Get(i.Worker.ID); before.Phase != i.Phase {
 		i.PhaseAt = s.Now
 	}
@@ -115,9 +114,9 @@
 	return s.withInstance(i)
 }
 
-// foldMove puts a worker that serves nothing into a pool at once.
+// foldMove moves an idle worker into a pool immediately.
 func (s State) foldMove(m record.Move) (State, error) {
-	i, err := s.change(m.Worker, m.Version)
+	i, err := s.instanceAt(m.Worker, m.Version)
 	if err != nil {
 		return s, err
 	}
@@ -127,10 +126,10 @@
 	if i.Phase != InService || s.hasTargets(i.Pool) || s.busy(m.Worker) {
 		return s, errkind.New(errkind.Conflict, "worker %s is in use and must be drained first", m.Worker)
 	}
-	return s.enter(i, m.To), nil
+	return s.enterService(i, m.To), nil
 }
 
-// mayJoinPool returns nil where the pool exists and takes the worker's kind.
+// mayJoinPool returns nil if the pool exists and accepts the worker's kind.
 func (s State) mayJoinPool(i Instance, pool string) error {
 	if pool == manifest.SparePool {
 		return nil
@@ -140,13 +139,13 @@
 		return errkind.New(errkind.NotFound, "pool %s is not declared", pool)
 	}
 	if !p.AcceptsKind(i.Worker.Kind) {
-		return errkind.New(errkind.Conflict, "pool %s takes no workers of kind %q", pool, i.Worker.Kind)
+		return errkind.New(errkind.Conflict, "pool %s accepts no workers of kind %q", pool, i.Worker.Kind)
 	}
 	return nil
 }
 
-// enter puts the instance into service in a pool.
-func (s State) enter(i Instance, pool string) State {
+// enterService puts the instance into service in a pool.
+func (s State) enterService(i Instance, pool string) State {
 	if i.Pool != pool {
 		i.Owner = ""
 	}
@@ -154,12 +153,12 @@
 	i.Phase = InService
 	i.Purpose = ""
 	i.MoveTo = ""
-	return s.keep(s.withOwner(i))
+	return s.updateInstance(s.withOwner(i))
 }
 
-// foldDrain admits a drain only within the budget of the pool.
+// foldDrain accepts a drain only within the budget of the pool.
 func (s State) foldDrain(d record.Drain) (State, error) {
-	i, err := s.change(d.Worker, d.Version)
+	i, err := s.instanceAt(d.Worker, d.Version)
 	if err != nil {
 		return s, err
 	}
@@ -178,35 +177,35 @@
 	i.Purpose = d.Purpose
 	i.MoveTo = d.To
 	if i.Owner == "" {
-		i.Phase = Drained // nobody could have sent it a request
+		i.Phase = Drained // no entry could have sent it a request
 	}
-	return s.keep(i).settle(d.Worker), nil
+	return s.updateInstance(i).completeMove(d.Worker), nil
 }
 
-// foldDrained takes the word of the slots' owner that all of them are back.
+// foldDrained accepts the report of the slots' owner that all of them have been returned.
 func (s State) foldDrained(from author, d record.Drained) (State, error) {
 	i, ok := s.Instances.Get(d.Worker)
 	if !ok || i.Phase != Draining || i.Owner != from.name || i.Epoch != d.Epoch {
 		return s, errkind.New(errkind.Conflict, "worker %s is not drained under %s at epoch %d", d.Worker, from.name, d.Epoch)
 	}
 	i.Phase = Drained
-	return s.keep(i).settle(d.Worker), nil
+	return s.updateInstance(i).completeMove(d.Worker), nil
 }
 
-// settle ends a move whose worker has become idle.
-func (s State) settle(worker string) State {
+// completeMove completes a move once its worker is idle.
+func (s State) completeMove(worker string) State {
 	i, _ := s.Instances.Get(worker)
 	if i.Phase != Drained || i.Purpose != record.ForMove || s.busy(worker) {
 		return s
 	}
-	return s.enter(i, i.MoveTo)
+	return s.enterService(i, i.MoveTo)
 }
 
-// foldReboot accepts the intent to reboot a worker that is idle. Its writer
-// alone may ask the platform, or a paused process could reboot the worker when
-// it is back in service; another takes over once the writer is gone.
+// foldReboot accepts the intent to reboot an idle worker. Only its writer may call the platform;
+// otherwise a suspended process could reboot the worker after its return to service. Another
+// process takes over once the writer is gone.
 func (s State) foldReboot(from author, r record.Reboot) (State, error) {
-	i, err := s.change(r.Worker, r.Version)
+	i, err := s.instanceAt(r.Worker, r.Version)
 	if err != nil {
 		return s, err
 	}
@@ -218,29 +217,29 @@
 	i.BootCountAtReboot = i.Worker.BootCount
 	i.Rebooter = from.name
 	i.RebooterIncarnation = from.incarnation
-	return s.keep(i), nil
+	return s.updateInstance(i), nil
 }
 
-// foldReturn puts a rebooted worker back into the pool that it never left.
+// foldReturn puts a rebooted worker back into service in its pool.
 func (s State) foldReturn(r record.Return) (State, error) {
-	i, err := s.change(r.Worker, r.Version)
+	i, err := s.instanceAt(r.Worker, r.Version)
 	if err != nil {
 		return s, err
 	}
 	if i.Phase != Rebooting || i.Worker.BootCount <= i.BootCountAtReboot || i.Worker.Condition != fleet.Live {
-		return s, errkind.New(errkind.Conflict, "worker %s has not come back from its reboot", r.Worker)
+		return s, errkind.New(errkind.Conflict, "worker %s has not returned from its reboot", r.Worker)
 	}
-	return s.enter(i, i.Pool), nil
+	return s.enterService(i, i.Pool), nil
 }
 
-// foldHandoff passes the slots of an instance on; only the owner may.
+// foldHandoff passes on the slots of an instance; only their owner may do so.
 func (s State) foldHandoff(from author, h record.Handoff) (State, error) {
 	i, ok := s.Instances.Get(h.Worker)
 	if !ok || i.Owner != from.name || i.Epoch != h.Epoch {
 		return s, errkind.New(errkind.Conflict, "the slots of %s are not owned by %s at epoch %d", h.Worker, from.name, h.Epoch)
 	}
 	if e, ok := s.Entries.Get(h.To); !ok || !e.Present {
-		return s, errkind.New(errkind.NotFound, "entry %s is not in the roster", h.To)
+		return s, errkind.New(errkind.NotFound, "entry %s is not a member", h.To)
 	}
 	i.Owner = h.To
 	i.Epoch = s.Offset
@@ -248,16 +247,16 @@
 	return s.withInstance(i), nil
 }
 
-// MaxEjection bounds how long a worker is kept from new jobs by one record.
+// MaxEjection bounds how long one record may keep new jobs away from a worker.
 const MaxEjection = time.Hour
 
-func (s State) foldSetAside(a record.Eject) (State, error) {
+func (s State) foldEject(a record.Eject) (State, error) {
 	i, ok := s.Instances.Get(a.Worker)
 	if !ok {
-		return s, errkind.New(errkind.NotFound, "worker %s is not known", a.Worker)
+		return s, errkind.New(errkind.NotFound, "worker %s is unknown", a.Worker)
 	}
 	if a.Until.After(s.Now.Add(MaxEjection)) {
-		return s, errkind.New(errkind.BadRequest, "a worker is set aside for %s at most", MaxEjection)
+		return s, errkind.New(errkind.BadRequest, "a worker may be ejected for at most %s", MaxEjection)
 	}
 	i.EjectedUntil = a.Until
 	return s.withInstance(i), nil
--- a/models/state/fold_roster.go
+++ b/models/state/fold_membership.go
@@ -10,12 +10,12 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// absentLife is how long an absent entry's last incarnation is remembered: by
-// far longer than any append of it can still be on its way.
-const absentLife = 24 * time.Hour
+// absentRetention is how long an absent entry's last incarnation is kept: much longer than an
+// append of it can be in flight.
+const absentRetention = 24 * time.Hour
 
-// foldJoin enters a process; a newer one of the same name proves that the
-// former one is gone, since both would need the same address.
+// foldJoin adds a process; a newer one of the same name proves that the previous one is gone, since
+// both would need the same address.
 func (s State) foldJoin(from author, j record.Join) (State, error) {
 	old, known := s.Entries.Get(from.name)
 	if known && from.incarnation <= old.Incarnation {
@@ -41,27 +41,27 @@
 	return s.adoptOrphans(), nil
 }
 
-// foldLeave takes out a process that has finished its requests.
+// foldLeave removes a process that has finished its requests.
 func (s State) foldLeave(from author) (State, error) {
-	return s.remove(from.name, true)
+	return s.removeEntry(from.name, true)
 }
 
-// foldGone takes out a process that the platform no longer lists.
+// foldGone removes a process that the platform no longer lists.
 func (s State) foldGone(g record.Gone) (State, error) {
 	if !s.present(g.Entry, g.Incarnation) {
-		return s, errkind.New(errkind.Conflict, "%s with incarnation %d is not in the roster", g.Entry, g.Incarnation)
+		return s, errkind.New(errkind.Conflict, "%s with incarnation %d is not a member", g.Entry, g.Incarnation)
 	}
 	if e, _ := s.Entries.Get(g.Entry); !e.Listed {
-		return s, errkind.New(errkind.Conflict, "%s has not been on the platform's list yet", g.Entry)
+		return s, errkind.New(errkind.Conflict, "%s has not been listed by the platform yet", g.Entry)
 	}
-	return s.remove(g.Entry, false)
+	return s.removeEntry(g.Entry, false)
 }
 
-// remove takes an entry out; clean says that it has finished its requests.
-func (s State) remove(name string, clean bool) (State, error) {
+// removeEntry removes an entry; clean states that it has finished its requests.
+func (s State) removeEntry(name string, clean bool) (State, error) {
 	e, ok := s.Entries.Get(name)
 	if !ok || !e.Present {
-		return s, errkind.New(errkind.Conflict, "%s is not in the roster", name)
+		return s, errkind.New(errkind.Conflict, "%s is not a member", name)
 	}
 	e.Present = false
 	e.LeftAt = s.Now
@@ -72,7 +72,7 @@
 	return s.disown(name).abandonRuns(name, e.Incarnation), nil
 }
 
-// disown deals the slots that an entry owned to the others.
+// disown distributes the slots that an entry owned to the others.
 func (s State) disown(name string) State {
 	for _, i := range s.Instances.All() {
 		if i.Owner != name {
@@ -86,7 +86,7 @@
 	return s
 }
 
-// adoptOrphans gives an owner to instances that had none for want of entries.
+// adoptOrphans assigns owners to instances that had none because no entries were present.
 func (s State) adoptOrphans() State {
 	for _, i := range s.Instances.All() {
 		if i.Owner != "" {
@@ -97,7 +97,7 @@
 	return s
 }
 
-// withOwner gives an instance an owner if it needs one and has none.
+// withOwner assigns an owner to an instance if it needs one and has none.
 func (s State) withOwner(i Instance) Instance {
 	if i.Owner != "" || !s.hasTargets(i.Pool) {
 		return i
@@ -116,15 +116,15 @@
 	return s.Catalog.Pool(pool) != nil
 }
 
-// chooseOwner returns the present entry that owns the fewest instances of the
-// pool, then the fewest of all, then one in the instance's hall.
+// chooseOwner returns the present entry that owns the fewest instances of the pool; among those it
+// prefers one in the instance's data centre, then the one with the fewest instances in total.
 func (s State) chooseOwner(i Instance) string {
 	best := ""
 	var bestRank ownerRank
 	for _, name := range s.MemberNames() {
 		e, _ := s.Entries.Get(name)
 		inAll, _ := s.index.ownedAll.Get(name)
-		rank := ownerRank{inPool: s.OwnedCount(name, i.Pool), inAll: inAll, away: e.DataCenter != i.Worker.DataCenter}
+		rank := ownerRank{inPool: s.OwnedCount(name, i.Pool), inAll: inAll, otherDataCenter: e.DataCenter != i.Worker.DataCenter}
 		if best == "" || rank.before(bestRank) {
 			best, bestRank = name, rank
 		}
@@ -132,29 +132,29 @@
 	return best
 }
 
-// ownerRank orders entries by how well an instance suits them.
+// ownerRank orders entries by their suitability for an instance.
 type ownerRank struct {
-	inPool int
-	inAll  int
-	away   bool
+	inPool          int
+	inAll           int
+	otherDataCenter bool
 }
 
 func (r ownerRank) before(o ownerRank) bool {
 	if r.inPool != o.inPool {
 		return r.inPool < o.inPool
 	}
-	if r.away != o.away {
-		return !r.away
+	if r.otherDataCenter != o.otherDataCenter {
+		return !r.otherDataCenter
 	}
 	return r.inAll < o.inAll
 }
 
-// expire forgets what no proposal can refer to any more.
+// expire drops what no proposal can refer to any more.
 func (s State) expire() State {
 	s = s.expireClaims()
 	s = s.expireRuns()
 	for name, e := range s.Entries.All() {
-		if !e.Present && s.Now.Sub(e.LeftAt) > absentLife {
+		if !e.Present && s.Now.Sub(e.LeftAt) > absentRetention {
 			s.Entries = s.Entries.Without(name)
 		}
 	}
--- a/models/state/history_test.go
+++ b/models/state/history_test.go
@@ -17,8 +17,7 @@
 	"github.com/yardbridge/yardbridge/models/record"
 )
 
-// history is a log written by several processes, with the state after each
-// append.
+// history is a log written by several processes, with the state after each append.
 type history struct {
 	log    []record.Stored
 	states []State
@@ -81,7 +80,7 @@
 	return h
 }
 
-// randomRecord draws a proposal that is sometimes right and often stale.
+// randomRecord draws a proposal that is sometimes valid and often stale.
 func randomRecord(t *rapid.T, s State) record.Record {
 	worker := fmt.Sprintf("w%02d", rapid.IntRange(0, 15).Draw(t, "worker"))
 	i, _ := s.Instances.Get(worker)
@@ -128,7 +127,7 @@
 	}
 }
 
-// randomHistory draws a history in which three processes propose at once.
+// randomHistory draws a history in which three processes make proposals concurrently.
 func randomHistory(t *rapid.T) *history {
 	h := seeded(4)
 	for range rapid.IntRange(1, 60).Draw(t, "appends") {
@@ -147,13 +146,12 @@
 	return h
 }
 
-// repeatLast appends the newest batch again, as a writer does that missed the
-// log's answer.
+// repeatLast appends the newest batch again, as a writer does that missed the log's response.
 func (h *history) repeatLast(t *rapid.T) {
 	before := h.state()
 	f := h.putData(h.log[len(h.log)-1].Data)
 	if f.Applied {
-		t.Fatalf("a repeated batch was taken for a new one")
+		t.Fatalf("a repeated batch was applied as a new one")
 	}
 	after := f.State
 	after.Offset, after.Now = before.Offset, before.Now
@@ -170,15 +168,15 @@
 	return data
 }
 
-// checkStep checks what must always hold after one append. It counts by
-// itself, without the code under test.
+// checkStep checks the invariants after one append. It does its own counting, without the code
+// under test.
 func checkStep(t *rapid.T, before State, f Folded) {
 	s := f.State
 	members := make(map[string]string)
 	for _, pool := range []string{"p", "q", manifest.SparePool} {
 		for _, i := range s.PoolInstances(pool) {
 			if other, twice := members[i.Worker.ID]; twice {
-				t.Fatalf("%s is in %s and in %s", i.Worker.ID, other, pool)
+				t.Fatalf("%s is in pool %s and in pool %s", i.Worker.ID, other, pool)
 			}
 			members[i.Worker.ID] = pool
 		}
@@ -188,18 +186,18 @@
 	}
 	checkBudgets(t, before, f)
 	if s.Catalog.Version < before.Catalog.Version || s.Offset <= before.Offset {
-		t.Fatalf("the state went back")
+		t.Fatalf("the version or the offset went back")
 	}
 	for id, r := range before.Runs.All() {
 		after, _ := s.Runs.Get(id)
 		if r.Attempt > 0 && after.Attempt > r.Attempt && !r.Job.Repeatable {
-			t.Fatalf("run %s may not be repeated and got attempt %d", id, after.Attempt)
+			t.Fatalf("run %s may not be repeated but got attempt %d", id, after.Attempt)
 		}
 	}
 }
 
-// checkBudgets finds a drain that the batch began although the pool would not
-// survive the loss of a further domain.
+// checkBudgets finds a drain that the batch began although the pool would not survive the loss of a
+// further domain.
 func checkBudgets(t *rapid.T, before State, f Folded) {
 	for n, r := range f.Batch.Records {
 		if r.Drain == nil || f.Verdicts[n] != nil {
@@ -211,13 +209,13 @@
 			continue
 		}
 		if left := survivors(f.State, p); left < p.MinAvailable && onlyDrains(f) {
-			t.Fatalf("draining %s leaves pool %s with %d after the loss of a domain, must keep %d", r.Drain.Worker, p.Name, left, p.MinAvailable)
+			t.Fatalf("draining %s leaves pool %s with %d instances after the loss of a domain, want at least %d", r.Drain.Worker, p.Name, left, p.MinAvailable)
 		}
 	}
 }
 
-// onlyDrains reports whether nothing but drains happened in the batch, so
-// that its end shows what the drains led to.
+// onlyDrains reports whether the batch contains accepted drains only, so that the state after it
+// shows their effect.
 func onlyDrains(f Folded) bool {
 	for n, r := range f.Batch.Records {
 		if r.Drain == nil && f.Verdicts[n] == nil {
@@ -248,7 +246,7 @@
 	return all - worst
 }
 
-func TestFoldKeepsPromises(t *testing.T) {
+func TestFoldKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { randomHistory(t) })
 }
 
@@ -258,29 +256,29 @@
 		at := rapid.IntRange(0, len(h.log)).Draw(t, "snapshot at")
 		var assembler Assembler
 		var s State
-		whole := false
+		complete := false
 		for _, c := range Chunks(h.states[at].Offset, encoded(t, h.states[at])) {
-			s, whole = assembler.Add(c)
+			s, complete = assembler.Add(c)
 		}
-		if !whole {
-			t.Fatalf("the snapshot is not whole")
+		if !complete {
+			t.Fatalf("the snapshot is not complete")
 		}
 		for _, r := range h.log[at:] {
 			s = s.Fold(r).State
 		}
 		if !bytes.Equal(encoded(t, s), encoded(t, h.state())) {
-			t.Fatalf("snapshot and tail lead to another state than the whole log")
+			t.Fatalf("snapshot and tail lead to another state than the complete log")
 		}
 	})
 }
 
-func TestUnreadableRecordsStopNothing(t *testing.T) {
+func TestUnreadableRecordsAreSkipped(t *testing.T) {
 	h := seeded(1)
 	before := h.state()
 	f := h.putData([]byte("no batch"))
 	assert.Assert(t, !f.Applied)
 	assert.Equal(t, f.State.Unreadable, uint64(1))
-	// A record of a newer release has no field that this one knows.
+	// A record of a newer release has no field that this release knows.
 	f = h.put("b", record.Record{}, record.Record{Lease: &record.Lease{Role: record.RolePools, TTL: time.Second}})
 	assert.Equal(t, f.State.Unreadable, uint64(2))
 	assert.Assert(t, f.State.HoldsRole(record.RolePools, "b", 1))
--- a/models/state/index.go
+++ b/models/state/index.go
@@ -8,19 +8,19 @@
 	"github.com/yardbridge/yardbridge/modules/table"
 )
 
-// index holds what is worked out from the tables, so that a record costs the
-// same whatever the size of the fleet; it is rebuilt, never stored.
+// index holds data derived from the tables, so that the cost of a record does not depend on the
+// size of the fleet; it is rebuilt, never stored.
 type index struct {
-	members  table.Groups[struct{}] // workers by pool
-	owned    table.Table[int]       // instances by entry and pool
-	ownedAll table.Table[int]       // instances by entry
-	gone     table.Table[struct{}]  // workers that the platform no longer lists
-	out      table.Table[struct{}]  // workers that are not in service
-	poolAt   table.Table[uint64]    // offset of the newest change of a pool's instances or runs
-	runs     runIndex
+	poolWorkers   table.Groups[struct{}] // workers by pool
+	owned         table.Table[int]       // instances by entry and pool
+	ownedAll      table.Table[int]       // instances by entry
+	gone          table.Table[struct{}]  // workers that the platform no longer lists
+	outOfService  table.Table[struct{}]  // workers that are not in service
+	poolChangedAt table.Table[uint64]    // offset of the newest change of a pool's instances or runs
+	runs          runIndex
 }
 
-// Reindex works the indexes out anew, after a snapshot was read.
+// Reindex rebuilds the indexes after a snapshot was read.
 func (s State) Reindex() State {
 	instances, runs := s.Instances, s.Runs
 	s.index = index{}
@@ -36,30 +36,30 @@
 	return s
 }
 
-// TopologyChangedAt grows whenever instances, the owners of slots or the roster change,
-// so that books kept on them need no other look at the state.
+// TopologyChangedAt returns the offset of the newest change of instances, owners of slots or
+// membership, so that data derived from them needs to be updated only when it grows.
 func (s State) TopologyChangedAt() uint64 { return s.topology }
 
-// withEntry stores an entry of the roster.
+// withEntry stores an entry of the membership.
 func (s State) withEntry(name string, e Entry) State {
 	s.Entries = s.Entries.With(name, e)
 	s.topology = s.Offset
 	return s
 }
 
-// withInstance stores an instance and keeps the indexes true.
+// withInstance stores an instance and updates the indexes.
 func (s State) withInstance(i Instance) State {
 	s = s.withoutInstance(i.Worker.ID)
 	s.OwnersChangedAt = max(s.OwnersChangedAt, i.Epoch)
 	s.topology = s.Offset
 	s.Instances = s.Instances.With(i.Worker.ID, i)
-	s.index.members = s.index.members.With(i.Pool, i.Worker.ID, struct{}{})
-	s.index.poolAt = s.index.poolAt.With(i.Pool, s.Offset)
+	s.index.poolWorkers = s.index.poolWorkers.With(i.Pool, i.Worker.ID, struct{}{})
+	s.index.poolChangedAt = s.index.poolChangedAt.With(i.Pool, s.Offset)
 	if i.Worker.Condition == fleet.Gone {
 		s.index.gone = s.index.gone.With(i.Worker.ID, struct{}{})
 	}
 	if i.Phase != InService {
-		s.index.out = s.index.out.With(i.Worker.ID, struct{}{})
+		s.index.outOfService = s.index.outOfService.With(i.Worker.ID, struct{}{})
 	}
 	return s.countOwned(i, 1)
 }
@@ -71,10 +71,10 @@
 	}
 	s.Instances = s.Instances.Without(worker)
 	s.topology = s.Offset
-	s.index.members = s.index.members.Without(i.Pool, worker)
-	s.index.poolAt = s.index.poolAt.With(i.Pool, s.Offset)
+	s.index.poolWorkers = s.index.poolWorkers.Without(i.Pool, worker)
+	s.index.poolChangedAt = s.index.poolChangedAt.With(i.Pool, s.Offset)
 	s.index.gone = s.index.gone.Without(worker)
-	s.index.out = s.index.out.Without(worker)
+	s.index.outOfService = s.index.outOfService.Without(worker)
 	return s.countOwned(i, -1)
 }
 
@@ -92,7 +92,7 @@
 
 func ownedKey(entry, pool string) string { return entry + " " + pool }
 
-// OwnedCount returns how many instances of a pool an entry owns the slots of.
+// OwnedCount returns the number of instances of a pool whose slots an entry owns.
 func (s State) OwnedCount(entry, pool string) int {
 	n, _ := s.index.owned.Get(ownedKey(entry, pool))
 	return n
@@ -100,7 +100,7 @@
 
 // PoolInstances returns the instances that belong to a pool, in order.
 func (s State) PoolInstances(pool string) []Instance {
-	members := s.index.members.Of(pool)
+	members := s.index.poolWorkers.Of(pool)
 	found := make([]Instance, 0, members.Len())
 	for worker := range members.All() {
 		i, _ := s.Instances.Get(worker)
@@ -112,7 +112,7 @@
 // OutOfService yields the instances that are not in service, by worker.
 func (s State) OutOfService() func(yield func(string, Instance) bool) {
 	return func(yield func(string, Instance) bool) {
-		for worker := range s.index.out.All() {
+		for worker := range s.index.outOfService.All() {
 			i, _ := s.Instances.Get(worker)
 			if !yield(worker, i) {
 				return
@@ -121,9 +121,9 @@
 	}
 }
 
-// PoolChangedAt returns the offset after the newest change of a pool's
-// instances or of the runs that belong there, 0 for none.
+// PoolChangedAt returns the offset after the newest change of a pool's instances or runs, 0 for
+// none.
 func (s State) PoolChangedAt(pool string) uint64 {
-	at, _ := s.index.poolAt.Get(pool)
+	at, _ := s.index.poolChangedAt.Get(pool)
 	return at
 }
--- a/models/state/index_run.go
+++ b/models/state/index_run.go
@@ -14,27 +14,27 @@
 	"github.com/yardbridge/yardbridge/modules/table"
 )
 
-// runIndex finds job runs by what is asked of them.
+// runIndex indexes job runs by the attributes that they are looked up by.
 type runIndex struct {
-	active    table.Table[struct{}]  // all that have not ended
-	waiting   table.Groups[struct{}] // by pool
-	placed    table.Groups[struct{}] // not known to run yet, by the entry that starts them
-	onWorker  table.Groups[struct{}] // by worker
-	useOn     table.Table[Usage]     // by worker
-	useOf     table.Table[Usage]     // by team
-	teamAt    table.Table[uint64]    // offset of the newest change of a team's use
-	usedCores table.Groups[int]      // by job, runs by the processors that they used
-	ends      table.Table[string]    // ended runs by the time at which they are forgotten
-}
-
-// withRun stores a run and keeps the indexes true.
+	active        table.Table[struct{}]  // all that have not ended
+	waiting       table.Groups[struct{}] // by pool
+	placed        table.Groups[struct{}] // not known to be running yet, by the entry that starts them
+	onWorker      table.Groups[struct{}] // by worker
+	usageOn       table.Table[Usage]     // by worker
+	usageOf       table.Table[Usage]     // by team
+	teamChangedAt table.Table[uint64]    // offset of the newest change of a team's usage
+	usedCores     table.Groups[int]      // by job, number of runs by the cores that they used
+	endedRuns     table.Table[string]    // ended runs by the time at which they are dropped
+}
+
+// withRun stores a run and updates the indexes.
 func (s State) withRun(id string, r Run) State {
 	s = s.withoutRun(id)
 	s.Runs = s.Runs.With(id, r)
-	s.index.poolAt = s.index.poolAt.With(r.Job.Pool, s.Offset)
+	s.index.poolChangedAt = s.index.poolChangedAt.With(r.Job.Pool, s.Offset)
 	s.index.runs = s.index.runs.with(id, r)
 	if r.Active() {
-		return s.countUse(r, 1)
+		return s.addUsage(r, 1)
 	}
 	return s
 }
@@ -45,18 +45,18 @@
 		return s
 	}
 	s.Runs = s.Runs.Without(id)
-	s.index.poolAt = s.index.poolAt.With(r.Job.Pool, s.Offset)
+	s.index.poolChangedAt = s.index.poolChangedAt.With(r.Job.Pool, s.Offset)
 	s.index.runs = s.index.runs.without(id, r)
 	if r.Active() {
-		return s.countUse(r, -1)
+		return s.addUsage(r, -1)
 	}
 	return s
 }
 
 func (x runIndex) with(id string, r Run) runIndex {
-	x = x.countUsed(r, 1)
+	x = x.countUsedCores(r, 1)
 	if r.Ended() {
-		x.ends = x.ends.With(forgetKey(id, r), id)
+		x.endedRuns = x.endedRuns.With(forgetKey(id, r), id)
 		return x
 	}
 	x.active = x.active.With(id, struct{}{})
@@ -72,9 +72,9 @@
 }
 
 func (x runIndex) without(id string, r Run) runIndex {
-	x = x.countUsed(r, -1)
+	x = x.countUsedCores(r, -1)
 	if r.Ended() {
-		x.ends = x.ends.Without(forgetKey(id, r))
+		x.endedRuns = x.endedRuns.Without(forgetKey(id, r))
 		return x
 	}
 	x.active = x.active.Without(id)
@@ -89,9 +89,8 @@
 	return x
 }
 
-// countUsed keeps, for each job, how many remembered runs used how many
-// processors.
-func (x runIndex) countUsed(r Run, by int) runIndex {
+// countUsed counts, for each job, the kept runs by the number of cores that they used.
+func (x runIndex) countUsedCores(r Run, by int) runIndex {
 	if r.UsedCores == 0 {
 		return x
 	}
@@ -105,61 +104,60 @@
 	return x
 }
 
-// coresKey is a text that sorts as the number does.
+// coresKey returns a text that sorts like the number.
 func coresKey(cores int) string { return fmt.Sprintf("%09d", cores) }
 
-// MaxUsedCores returns the most processors that any remembered run of a job has
-// used, 0 for not known.
+// MaxUsedCores returns the maximum of cores that any kept run of a job has used, 0 if not known.
 func (s State) MaxUsedCores(job string) int {
 	most := 0
 	for key := range s.index.runs.usedCores.Of(job).All() {
-		most, _ = strconv.Atoi(key) // coresKey alone makes them, in order
+		most, _ = strconv.Atoi(key) // all keys come from coresKey and are in order
 	}
 	return most
 }
 
-func (s State) countUse(r Run, by int) State {
+func (s State) addUsage(r Run, by int) State {
 	x := &s.index.runs
-	onWorker, _ := x.useOn.Get(r.Worker)
-	ofTeam, _ := x.useOf.Get(r.Job.Team)
-	x.useOn = x.useOn.With(r.Worker, onWorker.with(r, by))
-	x.useOf = x.useOf.With(r.Job.Team, ofTeam.with(r, by))
-	x.teamAt = x.teamAt.With(r.Job.Team, s.Offset)
+	onWorker, _ := x.usageOn.Get(r.Worker)
+	ofTeam, _ := x.usageOf.Get(r.Job.Team)
+	x.usageOn = x.usageOn.With(r.Worker, onWorker.with(r, by))
+	x.usageOf = x.usageOf.With(r.Job.Team, ofTeam.with(r, by))
+	x.teamChangedAt = x.teamChangedAt.With(r.Job.Team, s.Offset)
 	customer := customerKey(r.Job.Customer)
-	ofCustomer, _ := x.useOf.Get(customer)
-	x.useOf = x.useOf.With(customer, ofCustomer.with(r, by))
-	x.teamAt = x.teamAt.With(customer, s.Offset)
+	ofCustomer, _ := x.usageOf.Get(customer)
+	x.usageOf = x.usageOf.With(customer, ofCustomer.with(r, by))
+	x.teamChangedAt = x.teamChangedAt.With(customer, s.Offset)
 	return s
 }
 
-// forgetKey orders ended runs by the time at which they may be forgotten: their
-// team has had time to see them, and their ID can't be submitted again.
+// forgetKey orders ended runs by the time at which they may be dropped: their team has had time to
+// see them, and their ID can't be submitted again.
 func forgetKey(id string, r Run) string {
-	at := r.EndedAt.Add(endedLife)
+	at := r.EndedAt.Add(endedRetention)
 	if expiry, err := oncekey.Expiry(id); err == nil && expiry.After(at) {
 		at = expiry
 	}
 	return timeKey(at) + " " + id
 }
 
-// timeKey is a text that sorts as the time does, to the second.
+// timeKey returns a text that sorts like the time, to the second.
 func timeKey(t time.Time) string { return fmt.Sprintf("%011d", t.Unix()) }
 
 // ActiveRuns yields the runs that have not ended, in the order of their IDs.
 func (s State) ActiveRuns() iter.Seq2[string, Run] { return s.runsOf(s.index.runs.active) }
 
-// WaitingRuns yields the runs of a pool that wait, in the order of their IDs.
+// WaitingRuns yields the waiting runs of a pool, in the order of their IDs.
 func (s State) WaitingRuns(pool string) iter.Seq2[string, Run] {
 	return s.runsOf(s.index.runs.waiting.Of(pool))
 }
 
-// PlacedBy yields the runs that an entry has placed and that are not known to
-// run yet, in the order of their IDs.
+// PlacedBy yields the runs that an entry has placed and that are not known to be running yet, in
+// the order of their IDs.
 func (s State) PlacedBy(entry string) iter.Seq2[string, Run] {
 	return s.runsOf(s.index.runs.placed.Of(entry))
 }
 
-// RunsOn yields the runs that hold room on a worker, in the order of their IDs.
+// RunsOn yields the runs that use capacity of a worker, in the order of their IDs.
 func (s State) RunsOn(worker string) iter.Seq2[string, Run] {
 	return s.runsOf(s.index.runs.onWorker.Of(worker))
 }
@@ -186,32 +184,32 @@
 	}
 }
 
-// TeamChangedAt returns the offset after the newest change of what the runs of
-// a team use, 0 for none.
+// TeamChangedAt returns the offset after the newest change of a team's usage, 0 for none.
 func (s State) TeamChangedAt(team string) uint64 {
-	at, _ := s.index.runs.teamAt.Get(team)
+	at, _ := s.index.runs.teamChangedAt.Get(team)
 	return at
 }
 
-// WorkerUsage returns the room that jobs hold on a worker.
+// WorkerUsage returns the capacity that jobs use on a worker.
 func (s State) WorkerUsage(worker string) Usage {
-	u, _ := s.index.runs.useOn.Get(worker)
+	u, _ := s.index.runs.usageOn.Get(worker)
 	return u
 }
 
-// customerKey is where the use of a customer stands beside those of teams, whose names have
-// no slash.
+// customerKey is the key of a customer's usage in the same table as those of teams, whose names
+// contain no slash.
 func customerKey(name string) string { return "customer/" + name }
 
-// CustomerChangedAt returns the offset after the newest change of what the runs of a customer,
-// "" for nobody's, use, 0 for none.
+// CustomerChangedAt returns the offset after the newest change of a customer's usage, 0 for none;
+// "" stands for runs without a customer.
 func (s State) CustomerChangedAt(name string) uint64 { return s.TeamChangedAt(customerKey(name)) }
 
-// CustomerUsage returns the room that the jobs of a customer, "" for nobody's, hold over all pools.
+// CustomerUsage returns the capacity that the jobs of a customer use over all pools; "" stands for
+// jobs without a customer.
 func (s State) CustomerUsage(name string) Usage { return s.TeamUsage(customerKey(name)) }
 
-// TeamUsage returns the room that the jobs of a team hold.
+// TeamUsage returns the capacity that the jobs of a team use.
 func (s State) TeamUsage(team string) Usage {
-	u, _ := s.index.runs.useOf.Get(team)
+	u, _ := s.index.runs.usageOf.Get(team)
 	return u
 }
--- a/models/state/main_test.go
+++ b/models/state/main_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the random histories, so that a run has the same
-// verdict every time; -rapid.seed on the command line draws others.
+// TestMain fixes the seed of the random histories, so that a run always has the same result;
+// -rapid.seed on the command line sets another seed.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20260302", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
--- a/models/state/rules_test.go
+++ b/models/state/rules_test.go
@@ -22,7 +22,7 @@
 	return manifest.Object{Team: &manifest.Team{Name: name, QuotaCores: quota}}
 }
 
-func TestRacingFiles(t *testing.T) {
+func TestConcurrentFiles(t *testing.T) {
 	h := seeded(1)
 	base := h.state().Catalog.Version
 	first := h.put("a", record.Record{Apply: &record.Apply{Deployment: "d", Base: base, Put: []manifest.Object{team("t", 1)}}})
@@ -31,28 +31,28 @@
 	assert.NilError(t, other.Verdicts[0])
 	clash := h.put("c", record.Record{Apply: &record.Apply{Deployment: "d", Base: base, Put: []manifest.Object{team("v", 1), team("t", 2)}}})
 	assert.ErrorContains(t, clash.Verdicts[0], "team/t changed in version")
-	_, half := clash.State.Catalog.Get(manifest.Ref{Kind: manifest.KindTeam, Name: "v"})
-	assert.Assert(t, !half, "a refused file was applied by half")
+	_, applied := clash.State.Catalog.Get(manifest.Ref{Kind: manifest.KindTeam, Name: "v"})
+	assert.Assert(t, !applied, "a rejected file was applied in part")
 }
 
-func TestDeposedAndPausedWriters(t *testing.T) {
+func TestReplacedAndSuspendedWriters(t *testing.T) {
 	h := seeded(1)
 	lease := record.Record{Lease: &record.Lease{Role: record.RolePools, TTL: time.Second}}
 	assert.NilError(t, h.put("a", lease).Verdicts[0])
 	assert.Assert(t, errkind.IsErrConflict(h.put("b", lease).Verdicts[0]))
 	h.now = h.now.Add(time.Minute)
 	assert.NilError(t, h.put("b", lease).Verdicts[0])
-	// The paused holder wakes up and goes on with what it had decided.
+	// The suspended holder resumes and continues with its earlier decision.
 	i, _ := h.state().Instances.Get("w00")
 	stale := record.Record{Move: &record.Move{Worker: "w00", Version: i.Version, To: "p"}}
 	assert.NilError(t, h.put("b", stale).Verdicts[0])
 	assert.Assert(t, errkind.IsErrConflict(h.put("a", stale).Verdicts[0]))
-	// A process that was replaced is not heard at all.
+	// Records of a process that was replaced are ignored.
 	h.putBatch(record.Batch{Writer: "a", Incarnation: 2, Sequence: 1, Records: []record.Record{{Join: &record.Join{}}}})
 	assert.Assert(t, !h.put("a", lease).Applied)
 }
 
-func TestRebootIsAskedForByItsWriterAlone(t *testing.T) {
+func TestOnlyItsWriterRequestsAReboot(t *testing.T) {
 	h := seeded(2)
 	h.put("a", record.Record{Lease: &record.Lease{Role: record.RolePools, TTL: time.Hour}})
 	i, _ := h.state().Instances.Get("w00")
@@ -78,7 +78,7 @@
 	place := record.Record{Place: &record.Place{ID: "deposit@2026-03-02", Attempt: 1, Worker: "w00", Cores: 1, MemoryGB: 1}}
 	assert.NilError(t, h.put("a", place).Verdicts[0])
 	assert.Assert(t, errkind.IsErrConflict(h.put("b", place).Verdicts[0]))
-	// The process that alone may start it is lost: nobody knows whether it did.
+	// The only process that may start the run is lost: it is unknown whether it did.
 	h.put("b", record.Record{ListUpdate: &record.ListUpdate{Revision: 2, Entries: []string{"a"}}})
 	f := h.put("b", record.Record{Gone: &record.Gone{Entry: "a", Incarnation: 1}})
 	r, _ := f.State.Runs.Get("deposit@2026-03-02")
@@ -88,7 +88,7 @@
 	assert.Assert(t, errkind.Is(h.put("b", submit).Verdicts[0], errkind.AlreadyRun))
 }
 
-func TestKeysAreForgottenOnlyPastTheirExpiry(t *testing.T) {
+func TestKeysAreKeptUntilTheirExpiry(t *testing.T) {
 	h := seeded(1)
 	key := fmt.Sprintf("%d.abcdefgh", h.now.Add(time.Minute).Unix())
 	claim := record.Record{Claim: &record.Claim{Key: key, Sum: []byte("s")}}
@@ -118,8 +118,8 @@
 	assert.ErrorContains(t, drain("w08"), "must keep 2 through its loss")
 }
 
-// claimModel is a register for each key: the first claim wins it, and a result
-// that says "not run" frees it.
+// claimModel is a register for each key: the first claim takes it, and a result with NotRun frees
+// it.
 func claimModel() porcupine.Model {
 	type holder struct{ by string }
 	return porcupine.Model{
@@ -160,8 +160,8 @@
 	free bool
 }
 
-// TestClaimsAreLinearizable has processes claim and free keys at once, their
-// appends landing in any order and some of them twice.
+// TestClaimsAreLinearizable has processes claim and free keys concurrently; their appends arrive in
+// any order and some of them twice.
 func TestClaimsAreLinearizable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := seeded(1)
@@ -178,8 +178,8 @@
 			p := pending[w]
 			if p == nil {
 				in := claimInput{key: fmt.Sprintf("%d.key-%06d", begin.Add(time.Hour).Unix(), rapid.IntRange(0, 1).Draw(t, "key")), by: w}
-				c, held := h.state().Claim(in.key)
-				in.free = held && c.Entry == w
+				c, claimed := h.state().Claim(in.key)
+				in.free = claimed && c.Entry == w
 				r := record.Record{Claim: &record.Claim{Key: in.key}}
 				if in.free {
 					r = record.Record{Result: &record.Result{Key: in.key, Claim: c.Offset, NotRun: true}}
@@ -206,18 +206,18 @@
 	})
 }
 
-func TestStaleDrainOfAPausedDecider(t *testing.T) {
+func TestStaleDrainOfASuspendedProcess(t *testing.T) {
 	h := seeded(2)
 	i, _ := h.state().Instances.Get("w00")
 	stale := record.Record{Drain: &record.Drain{Worker: "w00", Version: i.Version, Purpose: record.ForMaintenance}}
-	// Something has happened to the worker since the decision was made.
+	// The worker has changed since the decision was made.
 	rebooted := i.Worker
 	rebooted.BootCount++
 	h.put("b", record.Record{ListUpdate: &record.ListUpdate{Revision: 2, Workers: []fleet.Worker{rebooted}}})
 	assert.ErrorContains(t, h.put("a", stale).Verdicts[0], "the proposal was made on")
 }
 
-func TestProcessThatHasLeftIsNotHeard(t *testing.T) {
+func TestRecordsOfAProcessThatLeftAreIgnored(t *testing.T) {
 	h := seeded(1)
 	assert.NilError(t, h.put("a", record.Record{Leave: &record.Leave{}}).Verdicts[0])
 	assert.Assert(t, !h.put("a", record.Record{Lease: &record.Lease{Role: record.RoleJobs}}).Applied)
--- a/models/state/snapshot.go
+++ b/models/state/snapshot.go
@@ -18,7 +18,7 @@
 // ChunkBytes is the size of one snapshot chunk on the log.
 const ChunkBytes = 64 << 10
 
-// stored is the form in which a state is written down.
+// stored is the encoded form of a state.
 type stored struct {
 	Offset       uint64
 	Now          time.Time
@@ -37,7 +37,7 @@
 	SnapshotOf   uint64
 }
 
-// Encode returns the whole state as bytes; equal states have equal bytes.
+// Encode returns the encoded state; equal states have equal encodings.
 func (s State) Encode() ([]byte, error) {
 	data, err := codec.Marshal(stored{
 		Offset:       s.Offset,
@@ -59,7 +59,7 @@
 	return data, errors.Annotate(err, "encoding the state")
 }
 
-// Decode reads a whole state.
+// Decode decodes a state.
 func Decode(data []byte) (State, error) {
 	var d stored
 	if err := codec.Unmarshal(data, &d); err != nil {
@@ -84,7 +84,7 @@
 	return s.Reindex(), nil
 }
 
-// Chunks cuts an encoded state into the records that carry it on the log.
+// Chunks splits an encoded state into the records that carry it on the log.
 func Chunks(offset uint64, data []byte) []record.Snapshot {
 	sum := sha256.Sum256(data)
 	count := (len(data) + ChunkBytes - 1) / ChunkBytes
@@ -96,41 +96,40 @@
 	return chunks
 }
 
-// Assembler puts snapshots together again from the chunks seen on the log; its
-// zero value is ready.
+// Assembler reassembles snapshots from the chunks on the log; its zero value is ready to use.
 type Assembler struct {
 	parts map[partKey][]byte
 }
 
-// partKey tells chunks apart; two writers may snapshot the same offset, and
-// their bytes are the same only if their sums are.
+// partKey identifies a chunk; two writers may write a snapshot of the same offset, and their bytes
+// are the same only if their sums are.
 type partKey struct {
 	offset uint64
 	sum    string
 	index  int
 }
 
-// Add takes a chunk and returns the whole state once its last chunk is there;
-// ok is false until then and for chunks that do not match their sum.
+// Add adds a chunk and returns the complete state once its last chunk has arrived; ok is false
+// until then, and for chunks that do not match their sum.
 func (a *Assembler) Add(c record.Snapshot) (s State, ok bool) {
 	if a.parts == nil {
 		a.parts = make(map[partKey][]byte)
 	}
 	a.parts[partKey{c.Offset, string(c.Sum), c.Index}] = c.Data
-	var whole bytes.Buffer
+	var buffer bytes.Buffer
 	for i := range c.Count {
 		part, there := a.parts[partKey{c.Offset, string(c.Sum), i}]
 		if !there {
 			return State{}, false
 		}
-		whole.Write(part)
+		buffer.Write(part)
 	}
 	for i := range c.Count {
 		delete(a.parts, partKey{c.Offset, string(c.Sum), i})
 	}
-	if sum := sha256.Sum256(whole.Bytes()); !bytes.Equal(sum[:], c.Sum) {
+	if sum := sha256.Sum256(buffer.Bytes()); !bytes.Equal(sum[:], c.Sum) {
 		return State{}, false
 	}
-	s, err := Decode(whole.Bytes())
+	s, err := Decode(buffer.Bytes())
 	return s, err == nil
 }
--- a/models/state/use.go
+++ b/models/state/use.go
@@ -5,7 +5,7 @@
 
 import "github.com/yardbridge/yardbridge/models/manifest"
 
-// Usage is the room that jobs hold.
+// Usage is the capacity that jobs use.
 type Usage struct {
 	Runs         int
 	Cores        int
@@ -13,7 +13,7 @@
 	Accelerators int
 }
 
-// with adds a run, or takes it away with by = -1.
+// with adds a run, or removes it with by = -1.
 func (u Usage) with(r Run, by int) Usage {
 	u.Runs += by
 	u.Cores += by * r.Cores
@@ -22,7 +22,7 @@
 	return u
 }
 
-// Fits reports whether a job of the size fits beside what the worker runs.
+// Fits reports whether a job of the size fits on the worker in addition to its current usage.
 func (u Usage) Fits(i Instance, cores, memoryGB, accelerators int) bool {
 	w := i.Worker
 	return u.Cores+cores <= w.Cores &&
@@ -30,8 +30,8 @@
 		u.Accelerators+accelerators <= w.Accelerators
 }
 
-// WithinLimit reports whether a job of the size keeps a customer within its limits, of which
-// 0 is none; nil has none.
+// WithinLimit reports whether a customer stays within its limits with another job of the size; 0 is
+// no limit, and a nil customer has none.
 func (u Usage) WithinLimit(c *manifest.Customer, cores, memoryGB, accelerators int) bool {
 	if c == nil {
 		return true
@@ -41,7 +41,7 @@
 		(c.LimitAccelerators == 0 || u.Accelerators+accelerators <= c.LimitAccelerators)
 }
 
-// WithinQuota reports whether a job of the size keeps the team within its quota.
+// WithinQuota reports whether the team stays within its quota with another job of the size.
 func (u Usage) WithinQuota(t *manifest.Team, cores, memoryGB, accelerators int) bool {
 	return u.Cores+cores <= t.QuotaCores &&
 		u.MemoryGB+memoryGB <= t.QuotaMemoryGB &&
--- a/models/wave/wave.go
+++ b/models/wave/wave.go
@@ -5,10 +5,10 @@
 
 import "time"
 
-// Wave asks that each of its instances is maintained once, within a time.
+// Wave requests that each of its instances is maintained once within a time limit.
 type Wave struct {
 	Number        int
 	Instances     []string
-	TimeLimit     time.Duration `cbor:"Within"` // from when it was asked for
-	MaxConcurrent int           `cbor:"AtOnce"` // instances that may be down for it at once, 0 for no limit
+	TimeLimit     time.Duration `cbor:"Within"` // from the time of the request
+	MaxConcurrent int           `cbor:"AtOnce"` // instances that may be down for it at a time, 0 for no limit
 }
--- a/models/worker/worker.go
+++ b/models/worker/worker.go
@@ -9,11 +9,11 @@
 	"github.com/yardbridge/yardbridge/models/job"
 )
 
-// ID names a worker of an instance. A move to another pool ends it; after a crash the next
-// one may have the same name, and only its start tells them apart.
+// ID identifies a worker of an instance. A move to another pool ends the worker; after a crash the
+// next one may have the same id, and only its start time distinguishes them.
 type ID string
 
-// Worker is what a worker says of itself in the platform's list.
+// Worker is the entry of a worker in the platform's list, as the worker reports it.
 type Worker struct {
 	ID         ID
 	Instance   string // the instance that it runs on
@@ -23,13 +23,13 @@
 	Labels     []string // its kind and its rack
 	Capacity   job.Size
 	Draining   bool
-	Remaining  time.Duration // at least until it leaves, while it drains
-	WarmUp     time.Duration `cbor:"Cold"` // during which it is still slow from its start
-	StartedAt  int64         `cbor:"Born"` // when it has started, in milliseconds since 1970 by its machine's time of day; 0 where the platform does not tell
-	Revision   uint64        // of the list's record that said so
+	Remaining  time.Duration // minimum time until it leaves, while it drains
+	WarmUp     time.Duration `cbor:"Cold"` // during which it is still slow after its start
+	StartedAt  int64         `cbor:"Born"` // start time, in milliseconds since 1970 by its machine's clock; 0 if the platform does not report it
+	Revision   uint64        // offset of the entry in the list
 }
 
-// HasLabel reports whether the worker carries a label.
+// HasLabel reports whether the worker has a label.
 func (w *Worker) HasLabel(label string) bool {
 	for _, l := range w.Labels {
 		if l == label {
@@ -39,7 +39,7 @@
 	return false
 }
 
-// Rack returns the label of the worker's rack, which is its last one.
+// Rack returns the label of the worker's rack, which is the last label.
 func (w *Worker) Rack() string {
 	if len(w.Labels) == 0 {
 		return ""
