--- a/services/journal/claim.go
+++ b/services/journal/claim.go
@@ -15,82 +15,81 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// keyClaim is the key of the claim of a partition's writer; it sorts before
-// all others.
+// keyClaim is the key of the claim of a partition's writer; it sorts before all others.
 const keyClaim = "!claim"
 
-// claim is the record of a right to write.
+// claim is the record of a process that has become the writer.
 type claim struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 	Node  string `cbor:"2,keyasint"`
 }
 
-// The pauses before a call is made again that got no answer. A claim is sent
-// until its outcome is known: an epoch that was raised without its writer
-// knowing would leave the partition without one.
+// The pauses before a call without a response is repeated. A claim is sent until its outcome is
+// known: if an epoch were raised without its writer knowing, the partition would be left without a
+// writer.
 const (
 	claimRetry  = 100 * time.Millisecond
 	appendRetry = 50 * time.Millisecond
 )
 
-// Claim makes this process the writer, unless another claims the partition at
-// the same time, and returns the newest records of all keys. Where records may be in
-// the spare partition it answers as well, or nothing is claimed. All is read before the
-// last writer is fenced, so that only what it has added since is read while nobody writes.
+// Claim makes this process the writer, unless another one claims the partition at the same time,
+// and returns the newest records of all keys. If records may be in the standby partition, that must
+// respond as well, or nothing is claimed. Everything is read before the last writer is fenced, so
+// that only what it has added since is read while there is no writer.
 func (j *Journal) Claim(ctx context.Context, node string) ([]port.Record, error) {
 	j.calls = make(chan struct{}, 1)
 	before, err := j.read(ctx, j.Partition)
 	if err != nil {
 		return nil, err
 	}
-	last, err := find[claim](before.records, keyClaim)
+	last, err := decodeRecord[claim](before.records, keyClaim)
 	if err != nil {
 		return nil, err
 	}
-	inUse, err := j.spareAnswers(ctx, before)
+	inUse, err := j.standbyInUse(ctx, before)
 	if err != nil {
 		return nil, err
 	}
-	mine := claim{Epoch: last.Epoch + 1, Node: node}
+	own := claim{Epoch: last.Epoch + 1, Node: node}
 	j.mu.Lock()
-	j.epoch = mine.Epoch
+	j.epoch = own.Epoch
 	j.mu.Unlock()
-	j.spare.reset(mine.Epoch)
-	var spare spareClaim
+	j.standby.reset(own.Epoch)
+	var standby standbyClaim
 	var tasks sync.WaitGroup
-	spareCtx, cancel := context.WithCancel(ctx)
+	standbyCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if inUse {
-		tasks.Go(func() { spare.run(spareCtx, j, mine) })
+		tasks.Go(func() { standby.run(standbyCtx, j, own) })
 	}
-	records, err := j.claimHome(ctx, mine, before)
+	records, err := j.claimPrimary(ctx, own, before)
 	if err != nil {
-		cancel() // another process has the journal, or will have
+		cancel() // another process has the journal, or will have it
 	}
 	tasks.Wait()
 	if err != nil {
 		return nil, err
 	}
-	return j.withSpare(ctx, mine, records, &spare)
+	return j.withStandby(ctx, own, records, &standby)
 }
 
-// claimHome fences the partition and returns its newest records.
-func (j *Journal) claimHome(ctx context.Context, mine claim, before reading) ([]port.Record, error) {
-	if err := j.fence(ctx, &j.home, j.Partition, mine); err != nil {
+// claimPrimary fences the primary partition and returns its newest records.
+func (j *Journal) claimPrimary(ctx context.Context, mine claim, before reading) ([]port.Record, error) {
+	if err := j.fence(ctx, &j.primary, j.Partition, mine); err != nil {
 		return nil, err
 	}
-	records, err := j.readOn(ctx, before)
+	records, err := j.readSince(ctx, before)
 	if err != nil {
 		return nil, err
 	}
-	if by, err := find[claim](records, keyClaim); err != nil || by != mine {
-		return nil, errkind.New(errkind.Conflict, "the partition was claimed by %q at epoch %d (%v)", by.Node, by.Epoch, err)
+	if by, err := decodeRecord[claim](records, keyClaim); err != nil || by != mine {
+		return nil, errkind.New(errkind.Conflict, "partition was claimed by %q at epoch %d (%v)", by.Node, by.Epoch, err)
 	}
 	return records, nil
 }
 
-// find returns what the record under a key holds, the zero value for none.
-func find[T any](records []port.Record, key string) (T, error) {
+// decodeRecord returns the decoded record of a key, the zero value for none.
+func decodeRecord[T any](records []port.Record, key string) (T, error) {
 	var v T
 	for _, r := range records {
 		if r.Key == key && len(r.Value) > 0 {
@@ -109,11 +108,11 @@
 	return j.send(ctx, a)
 }
 
-// reading is what was read of a partition.
+// reading is the result of reading a partition.
 type reading struct {
 	at      port.Partition
 	records []port.Record // newest of all keys
-	end     uint64        // of the partition, as the first page was read
+	end     uint64        // of the partition, when the first page was read
 }
 
 // read returns the newest records of all keys of a partition.
@@ -135,11 +134,11 @@
 	}
 }
 
-// readTries bounds how often a call is made that reads what a fenced partition holds.
+// readTries bounds how often a read of a fenced partition is tried.
 const readTries = 20
 
-// again makes a call until it is answered, a number of times at most.
-func (j *Journal) again(ctx context.Context, call func() error) error {
+// retry repeats a call until it succeeds, a limited number of times.
+func (j *Journal) retry(ctx context.Context, call func() error) error {
 	for try := 1; ; try++ {
 		err := call()
 		if err == nil || errkind.Is(err, errkind.Gone) || try == readTries || ctx.Err() != nil {
@@ -152,14 +151,14 @@
 	}
 }
 
-// readOn returns the newest records of all keys of a partition that was read before it was
-// fenced: what was added meanwhile is taken from its history, and all is read again only where
-// that is gone.
-func (j *Journal) readOn(ctx context.Context, before reading) ([]port.Record, error) {
+// readSince returns the newest records of all keys of a partition that was read before it was
+// fenced: what was added in between is taken from its history, and everything is read again only if
+// the history is gone.
+func (j *Journal) readSince(ctx context.Context, before reading) ([]port.Record, error) {
 	newest := newestOf(before.records)
 	for from := before.end; ; {
 		var tail port.Tail
-		err := j.again(ctx, func() (err error) {
+		err := j.retry(ctx, func() (err error) {
 			tail, err = j.Store.Read(ctx, before.at, from, 0)
 			return err
 		})
@@ -178,10 +177,10 @@
 	}
 }
 
-// newestRecords are the newest records of all keys, by key.
+// newestRecords holds the newest records of all keys, by key.
 type newestRecords map[string]port.Record
 
-// newestOf returns records of which each has another key.
+// newestOf returns an index of records with distinct keys.
 func newestOf(records []port.Record) newestRecords {
 	n := make(newestRecords, len(records))
 	for _, r := range records {
@@ -190,7 +189,7 @@
 	return n
 }
 
-// put adds a newer record; one without a value takes its key away.
+// put adds a newer record; a record without a value removes its key.
 func (n newestRecords) put(r port.Record) {
 	if len(r.Value) == 0 {
 		delete(n, r.Key)
@@ -211,7 +210,7 @@
 // readAll returns the newest records of all keys of a fenced partition.
 func (j *Journal) readAll(ctx context.Context, at port.Partition) ([]port.Record, error) {
 	var r reading
-	err := j.again(ctx, func() (err error) {
+	err := j.retry(ctx, func() (err error) {
 		r, err = j.read(ctx, at)
 		return err
 	})
--- a/services/journal/doc.go
+++ b/services/journal/doc.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package journal keeps state under keys in one partition of the store, of which
-// one process at a time is the writer.
+// Package journal persists state under keys in one partition of the store, which has one process at
+// a time as its writer.
 package journal
--- a/services/journal/journal.go
+++ b/services/journal/journal.go
@@ -14,198 +14,197 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// Journal is one process's right to write a partition, from Claim until a higher
-// epoch is seen; its fields are set before that. While the partition does not answer,
-// records are kept in a spare one (spare.go).
+// Journal is one process's right to write a partition, from Claim until a higher epoch is seen; its
+// fields are set before that. While the partition does not respond, records are written to a
+// standby partition (standby.go).
 type Journal struct {
 	Partition port.Partition
 	// Standby is another partition of the same writer, the zero value for none.
 	Standby port.Partition
-	// StandbyProbePeriod is how often the spare partition is asked whether it answers, 0 for as often
-	// as is of use.
+	// StandbyProbePeriod is how often the standby partition is probed, 0 for as often as is useful.
 	StandbyProbePeriod time.Duration
 	Store              port.Store
 	Clock              clock.Clock
 	Logger             log.Logger
-	// Count adds one to a counter, nil for none.
+	// Count increments a counter; nil counts nothing.
 	Count func(counter string)
 
-	calls chan struct{} // holds a token while an append is under way; taken before mu
-	home  partWriter    // of Partition; who holds the token uses it
-	spare spareWriter   // the same, of Spare
+	calls   chan struct{} // holds a token while an append is in progress; acquired before mu
+	primary partWriter    // of Partition; used by the holder of the token
+	standby standbyWriter // the same, of Standby
 
-	mu        sync.Mutex
-	epoch     uint64
-	confirmed time.Time     // when the last append that succeeded was sent
-	answered  time.Time     // when the last append that succeeded was answered
-	took      time.Duration // of that append
-	stuck     time.Time     // since when an append is under way, zero for none
+	mu            sync.Mutex
+	epoch         uint64
+	lastConfirmed time.Time     // when the last successful append was sent
+	lastResponse  time.Time     // when the response to the last successful append arrived
+	lastDuration  time.Duration // of that append
+	pendingSince  time.Time     // since when an append is in progress, zero for none
 }
 
-// isFenced reports whether an error says that another process writes.
+// isFenced reports whether an error means that another process is the writer.
 func isFenced(err error) bool {
 	return errkind.Is(err, errkind.Fenced) || errkind.Is(err, errkind.Conflict)
 }
 
-// Confirm makes sure that this process still is the writer; it keeps nothing, and
-// takes no sequence number, as the store counts only appends with records. An append
-// that was sent after it was asked for tells the same: however many ask at once, the
-// records that wait come after one such call. The spare partition's answer tells the same as
-// the other's, since nobody is the writer before both are fenced.
+// Confirm confirms that this process still is the writer; it persists nothing, and uses no sequence
+// number, as the store counts only appends with records. An append that was sent after the call to
+// Confirm proves the same: however many callers confirm at the same time, waiting records are
+// delayed by one such append only. A response of the standby partition is as good as one of the
+// primary, since nobody else is the writer before both are fenced.
 func (j *Journal) Confirm(ctx context.Context) error {
-	asked := j.Clock.Now()
+	called := j.Clock.Now()
 	select {
 	case j.calls <- struct{}{}:
 	case <-ctx.Done():
-		return errNoAnswer
+		return errNoResponse
 	}
 	defer func() { <-j.calls }()
-	if !j.LastConfirmed().Before(asked) {
+	if !j.LastConfirmed().Before(called) {
 		return nil
 	}
-	defer j.begin()()
-	return j.ask(ctx)
+	defer j.beginAppend()()
+	return j.confirmWriter(ctx)
 }
 
-var errNoAnswer = errkind.New(errkind.OutcomeUnknown, "the store has not answered in time")
+var errNoResponse = errkind.New(errkind.OutcomeUnknown, "store did not respond in time")
 
-// ask sends an append without records, to the spare partition where the other does not answer.
-func (j *Journal) ask(ctx context.Context) error {
-	if err := j.collect(); err != nil {
+// confirmWriter sends an append without records, to the standby partition if the primary does not
+// respond.
+func (j *Journal) confirmWriter(ctx context.Context) error {
+	if err := j.collectOutcomes(); err != nil {
 		return err
 	}
-	for !j.home.idle() && !j.maySpare() {
+	for !j.primary.idle() && !j.standbyReady() {
 		select {
-		case <-j.home.landed():
-			if err := j.landHome(); err != nil {
+		case <-j.primary.completed():
+			if err := j.finishPrimary(); err != nil {
 				return err
 			}
-		case <-j.spare.landed():
-			if err := j.landSpare(); err != nil {
+		case <-j.standby.completed():
+			if err := j.finishStandby(); err != nil {
 				return err
 			}
 		case <-ctx.Done():
-			return errNoAnswer
+			return errNoResponse
 		}
 	}
-	if j.home.idle() {
+	if j.primary.idle() {
 		bounded, cancel := ctx, context.CancelFunc(func() {})
-		if j.maySpare() {
-			bounded, cancel = context.WithTimeout(ctx, j.spareAfter())
+		if j.standbyReady() {
+			bounded, cancel = context.WithTimeout(ctx, j.standbyAfter())
 		}
-		err := j.send(bounded, j.home.question())
+		err := j.send(bounded, j.primary.confirmation())
 		cancel()
-		if err == nil || isFenced(err) || ctx.Err() != nil || !j.maySpare() {
+		if err == nil || isFenced(err) || ctx.Err() != nil || !j.standbyReady() {
 			return err
 		}
 	}
-	return j.send(ctx, j.spare.question())
+	return j.send(ctx, j.standby.confirmation())
 }
 
-// begin notes that an append is under way, until the function that it returns is called.
-func (j *Journal) begin() (end func()) {
+// beginAppend notes that an append is in progress, until the returned function is called.
+func (j *Journal) beginAppend() (end func()) {
 	note := func(t time.Time) {
 		j.mu.Lock()
 		defer j.mu.Unlock()
-		j.stuck = t
+		j.pendingSince = t
 	}
 	note(j.Clock.Now())
 	return func() { note(time.Time{}) }
 }
 
-// PendingFor returns for how long an append has been under way, 0 for none.
+// PendingFor returns how long an append has been in progress, 0 for none.
 func (j *Journal) PendingFor() time.Duration {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.stuck.IsZero() {
+	if j.pendingSince.IsZero() {
 		return 0
 	}
-	return j.Clock.Now().Sub(j.stuck)
+	return j.Clock.Now().Sub(j.pendingSince)
 }
 
-// slowTimes is how many times as long as the one before an append may take before the
-// store counts as away: one that has become slow is not taken for one that is gone.
-const slowTimes = 3
+// slowFactor is how many times the duration of the previous append an append may take before the
+// store counts as unavailable: a store that has become slow is not mistaken for an unavailable one.
+const slowFactor = 3
 
-// IsStuck reports whether an append has been under way for longer than a time, or
-// where the store is slow, for much longer than the one before it took.
-func (j *Journal) IsStuck(least time.Duration) bool { return j.PendingFor() > j.patience(least) }
+// IsStuck reports whether an append has been in progress for longer than a time or, if the store is
+// slow, for much longer than the previous one took.
+func (j *Journal) IsStuck(minimum time.Duration) bool { return j.PendingFor() > j.maxWait(minimum) }
 
-// patience returns how long an append may take: so long at least, and longer where the store
-// is slow.
-func (j *Journal) patience(least time.Duration) time.Duration {
-	return max(least, slowTimes*j.LastDuration())
+// maxWait returns how long an append may take: a minimum, and longer if the store is slow.
+func (j *Journal) maxWait(least time.Duration) time.Duration {
+	return max(least, slowFactor*j.LastDuration())
 }
 
-// LastDuration returns how long the last append took that succeeded.
+// LastDuration returns how long the last successful append took.
 func (j *Journal) LastDuration() time.Duration {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.took
+	return j.lastDuration
 }
 
-// LastResponse returns when an append was last answered that has shown that this process
-// still was the writer.
+// LastResponse returns when the last response to an append arrived that confirmed this process as
+// the writer.
 func (j *Journal) LastResponse() time.Time {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.answered
+	return j.lastResponse
 }
 
-// Append keeps records, all or none, and returns once they are kept, or with an
-// error of the kind Fenced or Conflict once another process writes. While the
-// store does not answer it goes on until the context ends, which is that of the right
-// to write: what is under way may outlast the call. Without records it only confirms the
-// right, and does what is due for the spare partition.
+// Append persists records, all or none, and returns once they are persisted, or with an error of
+// the kind Fenced or Conflict once another process is the writer. While the store does not respond
+// it continues until the context ends, which is that of the right to write: an append in progress
+// may outlast the call. Without records it only confirms the right, and does what is due for the
+// standby partition.
 func (j *Journal) Append(ctx context.Context, records []port.Record) error {
 	j.calls <- struct{}{}
 	defer func() { <-j.calls }()
-	defer j.begin()()
-	if err := j.collect(); err != nil {
+	defer j.beginAppend()()
+	if err := j.collectOutcomes(); err != nil {
 		return err
 	}
-	if err := j.checkSpare(ctx); err != nil {
+	if err := j.checkStandby(ctx); err != nil {
 		return err
 	}
-	var home, spare *pendingAppend // that carry the records
+	var primary, standby *pendingAppend // that carry the records
 	for {
 		var err error
-		if home == nil && j.home.idle() {
-			home, err = j.startHome(ctx, records)
+		if primary == nil && j.primary.idle() {
+			primary, err = j.startPrimary(ctx, records)
 		}
-		if err == nil && spare == nil && j.maySpare() && j.isLate(home) {
-			spare, err = j.startSpare(ctx, records)
+		if err == nil && standby == nil && j.standbyReady() && j.isLate(primary) {
+			standby, err = j.startStandby(ctx, records)
 		}
 		if err != nil {
 			return err
 		}
 		select {
-		case <-j.home.landed():
-			last := j.home.pending
-			if err := j.landHome(); err != nil || last == home {
+		case <-j.primary.completed():
+			last := j.primary.pending
+			if err := j.finishPrimary(); err != nil || last == primary {
 				return err
 			}
-		case <-j.spare.landed():
-			last := j.spare.pending
-			if err := j.landSpare(); err != nil || last == spare {
+		case <-j.standby.completed():
+			last := j.standby.pending
+			if err := j.finishStandby(); err != nil || last == standby {
 				return err
 			}
-		case <-j.lateness(home, spare):
+		case <-j.standbyTimer(primary, standby):
 		case <-ctx.Done():
-			return errNoAnswer
+			return errNoResponse
 		}
 	}
 }
 
-// collect takes note of the outcomes that are known of appends that were under way.
-func (j *Journal) collect() error {
-	if isClosed(j.home.landed()) {
-		if err := j.landHome(); err != nil {
+// collectOutcomes processes the known outcomes of appends that were in progress.
+func (j *Journal) collectOutcomes() error {
+	if isClosed(j.primary.completed()) {
+		if err := j.finishPrimary(); err != nil {
 			return err
 		}
 	}
-	if isClosed(j.spare.landed()) {
-		return j.landSpare()
+	if isClosed(j.standby.completed()) {
+		return j.finishStandby()
 	}
 	return nil
 }
@@ -220,20 +219,19 @@
 	}
 }
 
-// send appends until the outcome is known. Where it may give up it does so with
-// an append that was refused, unless an earlier sending of the same may be
-// carried out yet.
+// send sends an append until its outcome is known. An append that may be given up is given up when
+// it is rejected, unless an earlier attempt of the same append may still take effect.
 func (j *Journal) send(ctx context.Context, a *pendingAppend) error {
 	mayGiveUp := a.mayGiveUp
 	for try := 1; ; try++ {
 		sent := j.Clock.Now()
 		err := j.Store.Append(ctx, a.at, a.writer, a.records)
 		if err == nil {
-			j.note(sent)
+			j.noteSuccess(sent)
 			return nil
 		}
 		j.Logger.Warn().Str("event", "append").Str("topic", a.at.Topic).Int("part", a.at.Index).Uint64("epoch", a.writer.Epoch).
-			Uint64("sequence", a.writer.Sequence).Int("records", len(a.records)).Int("try", try).Err(err).Msg("records are not known to be kept")
+			Uint64("sequence", a.writer.Sequence).Int("records", len(a.records)).Int("try", try).Err(err).Msg("append failed or has an unknown outcome")
 		mayGiveUp = mayGiveUp && !errkind.Is(err, errkind.OutcomeUnknown)
 		if isFenced(err) || mayGiveUp || ctx.Err() != nil {
 			return err
@@ -246,28 +244,27 @@
 	}
 }
 
-// note notes an append that was sent then and has succeeded now.
-func (j *Journal) note(sent time.Time) {
+// noteSuccess records the success of an append that was sent at a time.
+func (j *Journal) noteSuccess(sent time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.answered = j.Clock.Now()
-	j.took = j.answered.Sub(sent)
-	if sent.After(j.confirmed) {
-		j.confirmed = sent
+	j.lastResponse = j.Clock.Now()
+	j.lastDuration = j.lastResponse.Sub(sent)
+	if sent.After(j.lastConfirmed) {
+		j.lastConfirmed = sent
 	}
 }
 
-// Epoch returns the epoch of this process's right.
+// Epoch returns the epoch of this process's right to write.
 func (j *Journal) Epoch() uint64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.epoch
 }
 
-// LastConfirmed returns when an append was sent that has shown that this process
-// still was the writer.
+// LastConfirmed returns when the last append was sent that confirmed this process as the writer.
 func (j *Journal) LastConfirmed() time.Time {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.confirmed
+	return j.lastConfirmed
 }
--- a/services/journal/journal_test.go
+++ b/services/journal/journal_test.go
@@ -18,12 +18,12 @@
 	"github.com/yardbridge/yardbridge/standin/world"
 )
 
-// slow is how much longer than usual a slow store's answers take.
+// slow is the additional response time of a slow store.
 const slow = 200 * time.Millisecond
 
-// claimed returns the journal of a partition of a store that has become slow, and
-// counts its appends.
-func claimed(t *testing.T) (*Journal, func() int) {
+// slowJournal returns the journal of a partition of a store that has become slow, and a counter of
+// its appends.
+func slowJournal(t *testing.T) (*Journal, func() int) {
 	t.Helper()
 	w := world.New(1)
 	store := w.Store("n1")
@@ -50,12 +50,13 @@
 	}
 }
 
-// TestRecordsDoNotWaitBehindQuestions: in a rush on a slow store, many callers ask for
-// jobs that are not there, each of whom is told so only after the store was asked whether
-// this process still is the writer. The records that come meanwhile wait for one answer.
-func TestRecordsDoNotWaitBehindQuestions(t *testing.T) {
+// TestRecordsDoNotWaitBehindConfirmations guards against records queueing behind confirmations: in
+// a surge on a slow store, many callers ask for unknown jobs, and each gets its response only after
+// the store has confirmed that this process still is the writer. Records that arrive meanwhile wait
+// for one response only.
+func TestRecordsDoNotWaitBehindConfirmations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j, appends := claimed(t)
+		j, appends := slowJournal(t)
 		var all sync.WaitGroup
 		for range 50 {
 			all.Go(func() { assert.Check(t, j.Confirm(t.Context())) })
@@ -63,16 +64,17 @@
 		time.Sleep(time.Millisecond)
 		began := time.Now()
 		assert.NilError(t, j.Append(t.Context(), []port.Record{{Key: "k", Value: []byte{1}}}))
-		assert.Assert(t, time.Since(began) < 3*slow, "the records were kept after %s", time.Since(began))
+		assert.Assert(t, time.Since(began) < 3*slow, "the records were persisted after %s", time.Since(began))
 		all.Wait()
-		assert.Assert(t, appends() <= 3, "%d appends", appends())
+		assert.Assert(t, appends() <= 3, "%d appends were sent", appends())
 	})
 }
 
-// TestConfirmationIsAsked: an append that was sent before somebody asks tells nothing.
-func TestConfirmationIsAsked(t *testing.T) {
+// TestConfirmSendsAnAppend checks that an append that was sent before Confirm was called confirms
+// nothing.
+func TestConfirmSendsAnAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j, appends := claimed(t)
+		j, appends := slowJournal(t)
 		assert.NilError(t, j.Append(t.Context(), []port.Record{{Key: "k", Value: []byte{1}}}))
 		time.Sleep(time.Millisecond)
 		assert.NilError(t, j.Confirm(t.Context()))
@@ -80,30 +82,30 @@
 	})
 }
 
-// TestSlowIsNotStuck: an append that takes as long as the one before is under way, and
-// not stuck; where the store answers no more, it is.
+// TestSlowIsNotStuck checks that an append that takes as long as the previous one is not stuck, and
+// that it is once the store no longer responds.
 func TestSlowIsNotStuck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j, _ := claimed(t)
+		j, _ := slowJournal(t)
 		assert.NilError(t, j.Append(t.Context(), []port.Record{{Key: "k", Value: []byte{1}}}))
 		go func() { _ = j.Append(t.Context(), []port.Record{{Key: "k", Value: []byte{2}}}) }()
 		time.Sleep(slow - time.Millisecond)
 		assert.Assert(t, !j.IsStuck(slow/2))
 		time.Sleep(time.Second)
 		assert.Assert(t, !j.IsStuck(slow/2))
-		stuck := &Journal{stuck: time.Now(), took: slow}
-		time.Sleep(2 * slowTimes * slow)
+		stuck := &Journal{pendingSince: time.Now(), lastDuration: slow}
+		time.Sleep(2 * slowFactor * slow)
 		assert.Assert(t, stuck.IsStuck(slow/2))
 		assert.Assert(t, !stuck.IsStuck(time.Minute))
 	})
 }
 
-// TestATakeOverOnASlowStoreIsShort: a pool in a rush has 1,500 keys and is handed over while each
-// answer of the store takes 0.2 s. Nobody keeps anything from the moment at which the last
-// writer is fenced until the next one has read all: two answers, of which the first is that of
-// the fence. All that the last writer has kept meanwhile is there.
-func TestATakeOverOnASlowStoreIsShort(t *testing.T) {
-	inBubble(t, func(t *testing.T, ctx context.Context, w *world.World) {
+// TestTakeoverOnSlowStoreIsShort hands over a pool with 1,500 keys in a surge while each response
+// of the store takes 0.2 s. Nothing is persisted from the time at which the last writer is fenced
+// until the next one has read everything: this takes two responses, the first of which is that of
+// the fence. Everything that the last writer has persisted meanwhile is read.
+func TestTakeoverOnSlowStoreIsShort(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, ctx context.Context, w *world.World) {
 		const keys = 1500
 		last := newJournal(w, "n1")
 		_, err := last.Claim(ctx, "n1")
@@ -120,22 +122,22 @@
 		}
 		var claimed time.Time
 		var tasks sync.WaitGroup
-		kept, at := 0, time.Now()
+		persisted, at := 0, time.Now()
 		tasks.Go(func() {
 			records, err := newJournal(w, "n2").Claim(ctx, "n2")
 			claimed = time.Now()
 			assert.Check(t, err)
-			assert.Check(t, len(values(records)) == keys+kept, "%d keys are read, %d were kept", len(values(records)), keys+kept)
+			assert.Check(t, len(values(records)) == keys+persisted, "%d keys were read, want %d", len(values(records)), keys+persisted)
 		})
 		for {
-			if err := last.Append(ctx, []port.Record{{Key: fmt.Sprint("late", kept), Value: []byte("1")}}); err != nil {
+			if err := last.Append(ctx, []port.Record{{Key: fmt.Sprint("late", persisted), Value: []byte("1")}}); err != nil {
 				assert.Assert(t, isFenced(err))
 				break
 			}
-			kept, at = kept+1, time.Now()
+			persisted, at = persisted+1, time.Now()
 		}
 		tasks.Wait()
-		assert.Assert(t, kept > 2, "the last writer goes on while all is read")
-		assert.Assert(t, claimed.Sub(at) < 3*slow, "nothing was kept for %s", claimed.Sub(at))
+		assert.Assert(t, persisted > 2, "the last writer must continue while the next one reads")
+		assert.Assert(t, claimed.Sub(at) < 3*slow, "nothing was persisted for %s", claimed.Sub(at))
 	})
 }
--- a/services/journal/part_writer.go
+++ b/services/journal/part_writer.go
@@ -12,11 +12,11 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// partWriter writes one partition; one append at a time is under way.
+// partWriter writes one partition; one append at a time is in progress.
 type partWriter struct {
 	at      port.Partition
 	writer  port.Writer
-	pending *pendingAppend // under way, nil for none
+	pending *pendingAppend // in progress, nil for none
 }
 
 // pendingAppend is an append whose outcome is not known yet.
@@ -25,34 +25,35 @@
 	writer    port.Writer
 	records   []port.Record
 	pause     time.Duration // before it is sent again
-	mayGiveUp bool          // with one that was refused
+	mayGiveUp bool          // when it is rejected
 
 	began  time.Time
-	copies map[string]uint64 // which versions of spare records it brings home, by key
-	mark   *spareMark        // the mark among its records, nil for none
+	copies map[string]uint64 // versions of standby records that it copies to the primary partition, by key
+	mark   *standbyMark      // the mark among its records, nil for none
 	done   chan struct{}     // closed once err is known
 	err    error
 }
 
 func (w *partWriter) idle() bool { return w.pending == nil }
 
-// landed is closed once the outcome of the append under way is known; nil without one.
-func (w *partWriter) landed() <-chan struct{} {
+// completed returns a channel that is closed once the outcome of the append in progress is known;
+// nil if there is none.
+func (w *partWriter) completed() <-chan struct{} {
 	if w.pending == nil {
 		return nil
 	}
 	return w.pending.done
 }
 
-// take returns the append whose outcome is known; none is under way any more.
-func (w *partWriter) take() *pendingAppend {
+// takePending returns the append whose outcome is known; none is in progress afterwards.
+func (w *partWriter) takePending() *pendingAppend {
 	a := w.pending
 	w.pending = nil
 	return a
 }
 
-// claim returns the append that raises the partition's epoch. The first sequence number of
-// the epoch is drawn at random: of two that claim the same epoch only one appends, since the
+// claim returns the append that raises the partition's epoch. The first sequence number of the
+// epoch is random: of two processes that claim the same epoch only one can append, since the
 // other's sequence number does not follow.
 func (w *partWriter) claim(at port.Partition, c claim) (*pendingAppend, error) {
 	value, err := codec.Marshal(c)
@@ -65,23 +66,24 @@
 	}, nil
 }
 
-// question returns an append without records: it takes no sequence number.
-func (w *partWriter) question() *pendingAppend {
+// confirmation returns an append without records: it uses no sequence number.
+func (w *partWriter) confirmation() *pendingAppend {
 	a := &pendingAppend{at: w.at, writer: w.writer, pause: appendRetry}
 	a.writer.Sequence++
 	return a
 }
 
-// next returns the append of records that follows the last one, or a question for none.
-func (w *partWriter) next(records []port.Record) *pendingAppend {
-	a := w.question()
+// nextAppend returns the append of records that follows the last one, or a confirmation if there
+// are none.
+func (w *partWriter) nextAppend(records []port.Record) *pendingAppend {
+	a := w.confirmation()
 	if a.records = records; len(records) > 0 {
 		w.writer.Sequence++
 	}
 	return a
 }
 
-// start has an append sent until its outcome is known.
+// start sends an append in the background until its outcome is known.
 func (w *partWriter) start(ctx context.Context, j *Journal, a *pendingAppend) {
 	a.began, a.done = j.Clock.Now(), make(chan struct{})
 	w.pending = a
