--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -14,7 +14,7 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// retryPause is the pause after a reading that failed.
+// retryPause is the pause after a failed read.
 const retryPause = 200 * time.Millisecond
 
 // Follower follows a partition; its fields are set before Run.
@@ -23,34 +23,34 @@
 	Partition port.Partition
 	Clock     clock.Clock
 	Logger    log.Logger
-	// Wait is how long a reading waits for a record; 0 reads each Gap.
+	// Wait is how long a read waits for a record; 0 reads at each Gap.
 	Wait time.Duration
-	// Gap returns the pause between readings; records that come in it are read
-	// together. Nil stands for none.
+	// Gap returns the pause between reads; records that arrive in it are read together. Nil means
+	// no pause.
 	Gap func() time.Duration
 	// Wake ends a pause early; nil never does.
 	Wake <-chan struct{}
-	// Idle reports whether nobody needs the partition now: then nothing is read until
-	// a hurry, and all of it after that. Nil stands for never.
+	// Idle reports whether nobody needs the partition now: then nothing is read until a wake-up,
+	// and everything after it. Nil means never.
 	Idle func() bool
-	// Apply takes records in the order of the partition. Where whole is true
-	// they are the newest of all keys, and other keys are no longer there.
+	// Apply receives records in the order of the partition. If whole is true they are the newest
+	// records of all keys, and other keys no longer exist.
 	Apply func(records []port.Record, whole bool)
 
-	lost time.Time    // since when readings fail
-	read atomic.Int64 // when a reading succeeded last, in nanoseconds since 1970
+	failingSince time.Time    // since when reads fail
+	lastRead     atomic.Int64 // when the last successful read was, in nanoseconds since 1970
 }
 
-// Age returns how long ago a reading succeeded.
+// Age returns how long ago the last successful read was.
 func (f *Follower) Age() time.Duration {
-	return f.Clock.Now().Sub(time.Unix(0, f.read.Load()))
+	return f.Clock.Now().Sub(time.Unix(0, f.lastRead.Load()))
 }
 
 // Run follows the partition until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if f.idle() {
-			f.rest(ctx)
+			f.waitForWake(ctx)
 			continue
 		}
 		from, err := f.readWhole(ctx)
@@ -60,7 +60,7 @@
 		}
 		if errkind.Is(err, errkind.Gone) {
 			f.Logger.Info().Str("event", "follow").Str("topic", f.Partition.Topic).Uint64("from", from).
-				Str("outcome", "history dropped").Msg("the newest records are read again")
+				Str("outcome", "history dropped").Msg("history of the topic is gone; reading all newest records again")
 			continue
 		}
 		f.failed(ctx, err)
@@ -69,16 +69,16 @@
 
 func (f *Follower) idle() bool { return f.Idle != nil && f.Idle() }
 
-// rest waits for a hurry.
-func (f *Follower) rest(ctx context.Context) {
+// waitForWake waits for a wake-up.
+func (f *Follower) waitForWake(ctx context.Context) {
 	select {
 	case <-f.Wake:
 	case <-ctx.Done():
 	}
 }
 
-// readWhole reads the newest records of all keys and returns from where to go
-// on. The pages are no snapshot; what changed meanwhile is read after them.
+// readWhole reads the newest records of all keys and returns the offset to continue from. The pages
+// are no snapshot; changes in between are read after them.
 func (f *Follower) readWhole(ctx context.Context) (uint64, error) {
 	var records []port.Record
 	from := uint64(0)
@@ -97,13 +97,13 @@
 		}
 		after = page.Records[len(page.Records)-1].Key
 	}
-	f.regained()
+	f.succeeded()
 	f.Apply(records, true)
 	return from, nil
 }
 
-// readTail reads what has come since an offset and returns from where to go on.
-// A failed reading is tried again from there.
+// readTail reads the records from an offset on and returns the offset to continue from. A failed
+// read is retried from there.
 func (f *Follower) readTail(ctx context.Context, from uint64) (uint64, error) {
 	tail, err := f.Store.Read(ctx, f.Partition, from, f.Wait)
 	if err != nil {
@@ -113,7 +113,7 @@
 		}
 		return from, err
 	}
-	f.regained()
+	f.succeeded()
 	if len(tail.Records) == 0 {
 		return from, nil
 	}
@@ -121,30 +121,30 @@
 	return tail.Records[len(tail.Records)-1].Offset + 1, nil
 }
 
-// failed logs the first failure in a row and pauses.
+// failed logs the first of consecutive failures and pauses.
 func (f *Follower) failed(ctx context.Context, err error) {
 	if ctx.Err() != nil || err == nil {
 		return
 	}
-	if f.lost.IsZero() {
-		f.lost = f.Clock.Now()
+	if f.failingSince.IsZero() {
+		f.failingSince = f.Clock.Now()
 		f.Logger.Warn().Str("event", "dependency").Str("topic", f.Partition.Topic).Str("outcome", "lost").Err(err).
-			Msg("a topic of the store can't be read")
+			Msg("topic of the store can't be read")
 	}
 	f.sleep(ctx, retryPause)
 }
 
-func (f *Follower) regained() {
-	f.read.Store(f.Clock.Now().UnixNano())
-	if f.lost.IsZero() {
+func (f *Follower) succeeded() {
+	f.lastRead.Store(f.Clock.Now().UnixNano())
+	if f.failingSince.IsZero() {
 		return
 	}
 	f.Logger.Info().Str("event", "dependency").Str("topic", f.Partition.Topic).Str("outcome", "regained").
-		Dur("after", f.Clock.Now().Sub(f.lost)).Msg("a topic of the store is read again")
-	f.lost = time.Time{}
+		Dur("after", f.Clock.Now().Sub(f.failingSince)).Msg("topic of the store can be read again")
+	f.failingSince = time.Time{}
 }
 
-// pause waits for the gap between readings, or until there is a hurry.
+// pause waits for the gap between reads, or until a wake-up.
 func (f *Follower) pause(ctx context.Context) {
 	if f.Gap == nil {
 		return
--- a/services/follow/follow_test.go
+++ b/services/follow/follow_test.go
@@ -16,15 +16,15 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// TestNothingIsReadWhileIdle: a partition of 3,000 workers, each of which changes its
-// entry every 1.5 s, costs a node that does not need it nothing, and is there as a whole
-// as soon as it does.
+// TestNothingIsReadWhileIdle checks that a partition of 3,000 workers, each of which changes its
+// entry every 1.5 s, costs nothing for a node that does not need it, and that it is read completely
+// as soon as the node does.
 func TestNothingIsReadWhileIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var whole, tails atomic.Int64
 		var idle atomic.Bool
 		idle.Store(true)
-		hurry := make(chan struct{}, 1)
+		wake := make(chan struct{}, 1)
 		applied := make(chan bool, 100)
 		f := Follower{
 			Store: port.Store{
@@ -37,7 +37,7 @@
 					return port.Tail{End: 1}, nil
 				},
 			},
-			Logger: log.Nop(), Gap: func() time.Duration { return 250 * time.Millisecond }, Wake: hurry, Idle: idle.Load,
+			Logger: log.Nop(), Gap: func() time.Duration { return 250 * time.Millisecond }, Wake: wake, Idle: idle.Load,
 			Apply: func(_ []port.Record, whole bool) { applied <- whole },
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -50,7 +50,7 @@
 		assert.Equal(t, whole.Load()+tails.Load(), int64(0))
 
 		idle.Store(false)
-		hurry <- struct{}{}
+		wake <- struct{}{}
 		synctest.Wait()
 		assert.Assert(t, <-applied)
 		time.Sleep(time.Second)
