--- a/services/directory/directory.go
+++ b/services/directory/directory.go
@@ -17,10 +17,10 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// Partition is where the directory lies.
+// Partition is the partition of the store that contains the directory.
 var Partition = port.Partition{Topic: "keyed.nodes"}
 
-// The keys of the directory begin with these.
+// The prefixes of the directory's keys.
 const (
 	keyNode = "n/"
 	keyPool = "o/"
@@ -30,31 +30,30 @@
 type Node struct {
 	Name        string  `cbor:"1,keyasint"`
 	Address     string  `cbor:"2,keyasint"`             // for other nodes
-	Incarnation uint64  `cbor:"3,keyasint" json:"Life"` // of the process; a later one of the name has a higher one
+	Incarnation uint64  `cbor:"3,keyasint" json:"Life"` // of the process; a later one of the same name has a higher one
 	Cores       float64 `cbor:"4,keyasint"`
 	DataCenter  string  `cbor:"5,keyasint"`
-	LinkMbps    float64 `cbor:"6,keyasint,omitempty"` // of its link, 0 for not stated
+	LinkMbps    float64 `cbor:"6,keyasint,omitempty"` // of its network link, 0 if not set
 }
 
-// coresPerMbit says how much of a core's work comes with a megabit a second: a run
-// takes some 0.5 ms of a core and 5 kB, its text and what is told of it.
+// coresPerMbit is the CPU load in cores that corresponds to a megabit per second: a run takes some
+// 0.5 ms of a core and 5 kB, for its specification and the messages about it.
 const coresPerMbit = 0.0125
 
-// leastCapacity stands for a node that does not state its processors.
-const leastCapacity = 0.01
+// minCapacity is the capacity of a node that does not state its cores.
+const minCapacity = 0.01
 
-// Capacity returns what a node can carry, in cores: its processors, or its link where
-// that bears less.
+// Capacity returns the capacity of a node in cores: its own cores, or those that correspond to its
+// link if that is less.
 func (n Node) Capacity() float64 {
 	capacity := n.Cores
 	if n.LinkMbps > 0 {
 		capacity = min(capacity, n.LinkMbps*coresPerMbit)
 	}
-	return max(capacity, leastCapacity)
+	return max(capacity, minCapacity)
 }
 
-// Ownership says which node owns a pool, and in which slot the pool's partition
-// lies.
+// Ownership states which node owns a pool, and which slot the pool's partition has.
 type Ownership struct {
 	Pool        string `cbor:"1,keyasint"`
 	Slot        int    `cbor:"2,keyasint"`
@@ -63,23 +62,22 @@
 	Incarnation uint64 `cbor:"5,keyasint" json:"Life"` // of the node's process
 }
 
-// View is the directory at one time; it never changes.
+// View is the content of the directory at one time; it is immutable.
 type View struct {
 	Nodes map[string]Node
 	Pools map[string]Ownership
-	End   uint64 // of the partition, as far as it was read
+	End   uint64 // offset of the partition up to which it was read
 }
 
-// Owner returns the node that owns a pool, and false while no node that is
-// present does.
+// Owner returns the node that owns a pool, and false if that node is not present.
 func (v *View) Owner(pool string) (Node, Ownership, bool) {
 	o, known := v.Pools[pool]
 	n, present := v.Nodes[o.Node]
 	return n, o, known && present && n.Incarnation == o.Incarnation
 }
 
-// Directory is one node's view of the directory, and its entry there; its fields
-// are set before Run.
+// Directory is one node's view of the directory, and its entry there; its fields are set before
+// Run.
 type Directory struct {
 	Store  port.Store
 	Clock  clock.Clock
@@ -88,33 +86,32 @@
 
 	mu      sync.Mutex
 	view    *View
-	changed chan struct{} // closed with the next change
+	changed chan struct{} // closed at the next change
 	leaving bool
 
 	follower follow.Follower
 }
 
-// followWait is how long a reading of the directory waits for news. A record that
-// comes while a reading begins was seen to be told only with the next reading.
+// followWait is how long a read of the directory waits for new records. A record that arrives while
+// a read begins was observed to be returned by the next read only.
 const followWait = time.Second
 
-// Run follows the directory until the context ends, and keeps this node's entry
-// there.
+// Run follows the directory until the context ends, and keeps this node registered there.
 func (d *Directory) Run(ctx context.Context) {
 	f := &d.follower
 	f.Store, f.Partition, f.Clock, f.Logger = d.Store, Partition, d.Clock, d.Logger
 	f.Wait, f.Gap, f.Apply = followWait, d.followGap, d.apply
-	go d.run(ctx)
+	go d.keepRegistered(ctx)
 	f.Run(ctx)
 }
 
-// gapPerNode is the pause between two readings of the directory for each node that
-// there is: every node reads every change, and where all start or stop together there
-// are as many changes as nodes. All nodes together read it 2,000 times a second at most;
-// of 300, each learns of a change 0.15 s later at most.
+// gapPerNode is the pause between two reads of the directory per registered node: every node reads
+// every change, and if all nodes start or stop together there are as many changes as nodes. All
+// nodes together read at most 2,000 times a second; of 300 nodes, each sees a change at most 0.15 s
+// later.
 const gapPerNode = 500 * time.Microsecond
 
-// followGap returns the pause between two readings.
+// followGap returns the pause between two reads.
 func (d *Directory) followGap() time.Duration {
 	v, _ := d.View()
 	if v == nil {
@@ -123,11 +120,11 @@
 	return time.Duration(len(v.Nodes)) * gapPerNode
 }
 
-// Age returns how long ago the directory was read in the store.
+// Age returns how long ago the directory was read from the store.
 func (d *Directory) Age() time.Duration { return d.follower.Age() }
 
-// Merge takes over what another node knows of the directory: of the nodes where that has
-// read more of it, and of owners what is newer.
+// Merge merges another node's view of the directory: its nodes if that node has read further, and
+// its newer owners.
 func (d *Directory) Merge(v *View) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -140,13 +137,13 @@
 	}
 	for _, pools := range []map[string]Ownership{d.view.Pools, v.Pools} {
 		for _, o := range pools {
-			next.learn(o)
+			next.update(o)
 		}
 	}
-	d.set(next)
+	d.setView(next)
 }
 
-// outdatedBy reports whether another view knows a newer owner of a pool.
+// outdatedBy reports whether another view has a newer owner of a pool.
 func (v *View) outdatedBy(o *View) bool {
 	for pool, newer := range o.Pools {
 		if newer.Epoch > v.Pools[pool].Epoch {
@@ -156,8 +153,8 @@
 	return false
 }
 
-// View returns the newest view, nil before the first, and a channel that is
-// closed with the next change.
+// View returns the newest view, nil before the first, and a channel that is closed at the next
+// change.
 func (d *Directory) View() (*View, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -167,7 +164,7 @@
 	return d.view, d.changed
 }
 
-// apply takes records into a new view.
+// apply applies records to a new view.
 func (d *Directory) apply(records []port.Record, whole bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -185,15 +182,15 @@
 	}
 	for _, r := range records {
 		next.End = max(next.End, r.Offset+1)
-		if err := next.take(r); err != nil {
-			d.Logger.Warn().Str("event", "directory").Str("key", r.Key).Err(err).Msg("a record can't be read and is passed over")
+		if err := next.applyRecord(r); err != nil {
+			d.Logger.Warn().Str("event", "directory").Str("key", r.Key).Err(err).Msg("directory record can't be read and is skipped")
 		}
 	}
-	d.set(next)
+	d.setView(next)
 }
 
-// set makes a view the newest. The lock is held.
-func (d *Directory) set(v *View) {
+// setView makes a view the newest. The lock is held.
+func (d *Directory) setView(v *View) {
 	d.logChanges(v)
 	d.view = v
 	if d.changed != nil {
@@ -202,7 +199,7 @@
 	d.changed = make(chan struct{})
 }
 
-// logChanges logs what a view says that the one before did not. The lock is held.
+// logChanges logs the differences between the newest view and the next one. The lock is held.
 func (d *Directory) logChanges(next *View) {
 	var last View
 	if d.view != nil {
@@ -211,25 +208,25 @@
 	for name, n := range next.Nodes {
 		if last.Nodes[name] != n {
 			d.Logger.Info().Str("event", "directory").Str("node", name).Str("address", n.Address).Uint64("life", n.Incarnation).
-				Uint64("end", next.End).Str("outcome", "present").Msg("a node is known")
+				Uint64("end", next.End).Str("outcome", "present").Msg("node is registered")
 		}
 	}
 	for name, n := range last.Nodes {
 		if _, there := next.Nodes[name]; !there {
 			d.Logger.Info().Str("event", "directory").Str("node", name).Uint64("life", n.Incarnation).
-				Uint64("end", next.End).Str("outcome", "absent").Msg("a node is known no longer")
+				Uint64("end", next.End).Str("outcome", "absent").Msg("node is no longer registered")
 		}
 	}
 	for pool, o := range next.Pools {
 		if last.Pools[pool] != o {
 			d.Logger.Info().Str("event", "directory").Str("of", pool).Int("slot", o.Slot).Uint64("epoch", o.Epoch).
-				Str("node", o.Node).Uint64("end", next.End).Str("outcome", "owned").Msg("a pool's owner is known")
+				Str("node", o.Node).Uint64("end", next.End).Str("outcome", "owned").Msg("owner of a pool changed")
 		}
 	}
 }
 
-// take takes one record into a view that is being made.
-func (v *View) take(r port.Record) error {
+// applyRecord applies one record to a view that is being built.
+func (v *View) applyRecord(r port.Record) error {
 	if name, isNode := strings.CutPrefix(r.Key, keyNode); isNode {
 		if len(r.Value) == 0 {
 			delete(v.Nodes, name)
@@ -251,13 +248,12 @@
 	if err := codec.Unmarshal(r.Value, &o); err != nil {
 		return err
 	}
-	v.learn(o)
+	v.update(o)
 	return nil
 }
 
-// learn takes an ownership unless a newer one is known: a record may have been
-// written late.
-func (v *View) learn(o Ownership) bool {
+// update applies an ownership unless a newer one is known: a record may have been written late.
+func (v *View) update(o Ownership) bool {
 	known, has := v.Pools[o.Pool]
 	if has && o.Epoch < known.Epoch {
 		return false
@@ -266,7 +262,7 @@
 	return true
 }
 
-// Observe takes an ownership that was heard of elsewhere.
+// Observe applies an ownership that was received from elsewhere.
 func (d *Directory) Observe(o Ownership) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -281,24 +277,24 @@
 	for k, p := range d.view.Pools {
 		next.Pools[k] = p
 	}
-	next.learn(o)
-	d.set(&next)
+	next.update(o)
+	d.setView(&next)
 }
 
-// run enters this node and does so again where its entry is gone. Where a later
-// life of the node is entered, this one has been replaced.
-func (d *Directory) run(ctx context.Context) {
+// keepRegistered registers this node, and does so again if its entry is gone. If a later
+// incarnation of the node is registered, this one has been replaced.
+func (d *Directory) keepRegistered(ctx context.Context) {
 	for ctx.Err() == nil {
 		v, changed := d.View()
 		if v != nil && !d.isLeaving() && v.Nodes[d.Self.Name].Incarnation < d.Self.Incarnation {
-			if err := d.enter(ctx); err != nil {
-				d.Logger.Warn().Str("event", "directory").Err(err).Msg("this node could not be entered")
+			if err := d.register(ctx); err != nil {
+				d.Logger.Warn().Str("event", "directory").Err(err).Msg("could not register this node")
 				changed = nil
 			}
 		}
 		var again <-chan time.Time
 		if changed == nil {
-			again = d.Clock.After(enterRetry)
+			again = d.Clock.After(registerRetry)
 		}
 		select {
 		case <-changed:
@@ -308,10 +304,10 @@
 	}
 }
 
-// enterRetry is the pause before this node is entered again after a failure.
-const enterRetry = 200 * time.Millisecond
+// registerRetry is the pause after a failed registration.
+const registerRetry = 200 * time.Millisecond
 
-func (d *Directory) enter(ctx context.Context) error {
+func (d *Directory) register(ctx context.Context) error {
 	value, err := codec.Marshal(d.Self)
 	if err != nil {
 		return err
@@ -325,7 +321,7 @@
 	return d.leaving
 }
 
-// Leave takes this node's entry away.
+// Leave removes this node's entry.
 func (d *Directory) Leave(ctx context.Context) error {
 	d.mu.Lock()
 	d.leaving = true
@@ -333,12 +329,12 @@
 	return d.Remove(ctx, d.Self.Name)
 }
 
-// Remove takes a node's entry away; a node that is present enters itself again.
+// Remove removes a node's entry; a running node registers again.
 func (d *Directory) Remove(ctx context.Context, name string) error {
 	return d.Store.Put(ctx, Partition, []port.Record{{Key: keyNode + name}})
 }
 
-// Publish tells all nodes of an ownership.
+// Publish announces an ownership to all nodes.
 func (d *Directory) Publish(ctx context.Context, o Ownership) error {
 	d.Observe(o)
 	value, err := codec.Marshal(o)
@@ -348,13 +344,13 @@
 	return d.Store.Put(ctx, Partition, []port.Record{{Key: keyPool + o.Pool, Value: value}})
 }
 
-// AssignSlot returns the slot of a pool's partition, and gives the lowest free ones to
-// all of the named pools that have none. A slot is never given twice: it is given
-// under the condition that nothing has come since the view was read.
+// AssignSlot returns the slot of a pool's partition, and assigns the lowest free slots to all of
+// the named pools that have none. A slot is never assigned twice: the assignment is conditional on
+// no record having been added since the view was read.
 func (d *Directory) AssignSlot(ctx context.Context, pool string, all []string) (int, error) {
 	v, _ := d.View()
 	if v == nil {
-		return 0, errkind.New(errkind.LogUnavailable, "the directory has not been read")
+		return 0, errkind.New(errkind.LogUnavailable, "the directory has not been read yet")
 	}
 	if o, known := v.Pools[pool]; known {
 		return o.Slot, nil
@@ -380,7 +376,7 @@
 	return slot, err
 }
 
-// freeSlots returns what yields the free slots, the lowest first.
+// freeSlots returns a function that yields the free slots, the lowest first.
 func (v *View) freeSlots() func() int {
 	taken := make(map[int]bool)
 	for _, o := range v.Pools {
