--- a/services/monitor/doc.go
+++ b/services/monitor/doc.go
@@ -1,7 +1,6 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package monitor finds nodes that have gone: each node asks its two successors
-// by name whether they are there, and takes one out of the directory that
-// neither it nor others reach.
+// Package monitor detects nodes that are gone: each node probes its two successors by name, and
+// removes a node from the directory that neither it nor other nodes can reach.
 package monitor
--- a/services/monitor/monitor.go
+++ b/services/monitor/monitor.go
@@ -20,21 +20,21 @@
 	Directory *directory.Directory
 	Clock     clock.Clock
 	Logger    log.Logger
-	// Probe asks a node whether it is there; the answer names its life.
+	// Probe probes a node; the response contains its incarnation.
 	Probe func(ctx context.Context, n directory.Node) (uint64, error)
-	// ProbeVia has one node probe another.
+	// ProbeVia makes one node probe another.
 	ProbeVia func(ctx context.Context, helper, n directory.Node) error
 }
 
-// The pace of probes. A node is missed after two probes in a row that failed and
-// a confirmation, about 0.8 s after it has gone silent.
+// The timing of probes. A failed node is detected after two failed probes in a row and a
+// confirmation, about 0.8 s after it became unresponsive.
 const (
-	watched      = 2 // successors that a node probes
-	helpers      = 2 // nodes that are asked before one is taken out
-	probePeriod  = 250 * time.Millisecond
-	probeTimeout = 250 * time.Millisecond
-	helpTimeout  = 400 * time.Millisecond
-	misses       = 2 // failed probes in a row before others are asked
+	watchedSuccessors = 2 // successors that a node probes
+	helpers           = 2 // nodes that probe a node before it is removed
+	probePeriod       = 250 * time.Millisecond
+	probeTimeout      = 250 * time.Millisecond
+	helpTimeout       = 400 * time.Millisecond
+	maxMisses         = 2 // failed probes in a row before helpers probe the node
 )
 
 // Run probes until the context ends.
@@ -53,7 +53,7 @@
 	}
 }
 
-// successors returns the nodes that follow one by name, in a ring.
+// successors returns the nodes that follow a node by name, in a ring.
 func successors(v *directory.View, self string) []directory.Node {
 	names := make([]string, 0, len(v.Nodes))
 	for name := range v.Nodes {
@@ -64,47 +64,47 @@
 	slices.Sort(names)
 	from, _ := slices.BinarySearch(names, self)
 	var list []directory.Node
-	for i := range min(watched, len(names)) {
+	for i := range min(watchedSuccessors, len(names)) {
 		list = append(list, v.Nodes[names[(from+i)%len(names)]])
 	}
 	return list
 }
 
-// check probes a node and takes it out of the directory where it has gone.
+// check probes a node and removes it from the directory if it is gone.
 func (m *Monitor) check(ctx context.Context, v *directory.View, n directory.Node, failed map[string]int) {
-	err := m.there(ctx, n)
+	err := m.probe(ctx, n)
 	if err == nil {
 		delete(failed, n.Name)
 		return
 	}
 	failed[n.Name]++
 	m.Logger.Info().Str("event", "node").Str("node", n.Name).Uint64("life", n.Incarnation).Int("misses", failed[n.Name]).Err(err).
-		Str("outcome", "missed").Msg("a node does not answer a probe")
-	if failed[n.Name] < misses || ctx.Err() != nil {
+		Str("outcome", "missed").Msg("node does not respond to a probe")
+	if failed[n.Name] < maxMisses || ctx.Err() != nil {
 		return
 	}
 	delete(failed, n.Name)
-	if m.reached(ctx, v, n) || ctx.Err() != nil {
+	if m.reachable(ctx, v, n) || ctx.Err() != nil {
 		return
 	}
 	err = m.Directory.Remove(ctx, n.Name)
 	m.Logger.Info().Str("event", "node").Str("node", n.Name).Uint64("life", n.Incarnation).AnErr("err", err).Str("outcome", "gone").
-		Msg("a node is not reached by any that was asked and is taken out")
+		Msg("no helper reaches the node; it is removed from the directory")
 }
 
-// there returns nil where a node answers and is the life that is known.
-func (m *Monitor) there(ctx context.Context, n directory.Node) error {
+// probe returns nil if a node responds and is the known incarnation.
+func (m *Monitor) probe(ctx context.Context, n directory.Node) error {
 	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	life, err := m.Probe(bounded, n)
-	if err == nil && life != n.Incarnation {
-		err = errkind.New(errkind.Gone, "another life of the node answers: %d", life)
+	incarnation, err := m.Probe(bounded, n)
+	if err == nil && incarnation != n.Incarnation {
+		err = errkind.New(errkind.Gone, "another incarnation of the node responds: %d", incarnation)
 	}
 	return err
 }
 
-// reached reports whether one of some other nodes reaches a node.
-func (m *Monitor) reached(ctx context.Context, v *directory.View, n directory.Node) bool {
+// reachable reports whether any of some other nodes reaches a node.
+func (m *Monitor) reachable(ctx context.Context, v *directory.View, n directory.Node) bool {
 	var others []directory.Node
 	for _, o := range v.Nodes {
 		if o.Name != n.Name && o.Name != m.Directory.Self.Name {
@@ -112,28 +112,28 @@
 		}
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	answers := make(chan error, helpers)
-	asked := others[:min(helpers, len(others))]
+	results := make(chan error, helpers)
+	selected := others[:min(helpers, len(others))]
 	bounded, cancel := context.WithTimeout(ctx, helpTimeout)
 	defer cancel()
-	for _, o := range asked {
-		go help{m, o, n, answers}.run(bounded)
+	for _, o := range selected {
+		go helperProbe{m, o, n, results}.run(bounded)
 	}
-	for range asked {
-		if <-answers == nil {
+	for range selected {
+		if <-results == nil {
 			return true
 		}
 	}
 	return false
 }
 
-// help is one wish that a node probes another.
-type help struct {
+// helperProbe is a request to a node to probe another one.
+type helperProbe struct {
 	m       *Monitor
 	helper  directory.Node
 	node    directory.Node
-	answers chan<- error
+	results chan<- error
 }
 
-// run asks the helper.
-func (h help) run(ctx context.Context) { h.answers <- h.m.ProbeVia(ctx, h.helper, h.node) }
+// run sends the request to the helper.
+func (h helperProbe) run(ctx context.Context) { h.results <- h.m.ProbeVia(ctx, h.helper, h.node) }
