--- a/services/members/doc.go
+++ b/services/members/doc.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package members tells which entries are alive. Each entry probes one other a
-// second, by way of others if it does not answer, and news spreads along with
-// the probes; so the messages of an entry stay the same however many there are.
-// It saves effort only; no promise rests on it.
+// Package members tracks which entries are alive. Each entry probes one other entry a second,
+// indirectly through helpers if it does not respond, and status updates are spread with the probes;
+// so the message rate of an entry does not depend on the number of entries. The result is used for
+// optimization only; no guarantee depends on it.
 package members
--- a/services/members/members.go
+++ b/services/members/members.go
@@ -17,53 +17,53 @@
 	"github.com/yardbridge/yardbridge/modules/log"
 )
 
-// The rates of the probes.
+// The timing and volume of the probes.
 const (
-	Period       = time.Second
-	probeTimeout = 400 * time.Millisecond
-	helpers      = 3 // entries that are asked to probe one that did not answer
-	newsSent     = 8 // rows a message
-	newsSpread   = 3 // each row is sent so many times the logarithm of the entries
+	Period         = time.Second
+	probeTimeout   = 400 * time.Millisecond
+	helpers        = 3 // entries that probe an unresponsive entry indirectly
+	rowsPerMessage = 8 // status updates per message
+	spreadFactor   = 3 // each row is sent this many times the logarithm of the number of entries
 )
 
-// Row is what is known of one entry.
+// Row is the known status of one entry.
 type Row struct {
 	Entry       string `json:"n"`
 	Incarnation uint64 `json:"i"`
-	Refutation  uint64 `json:"b"` // raised by the entry when it is taken for dead
+	Refutation  uint64 `json:"b"` // raised by the entry when it is reported as dead
 	Offset      uint64 `json:"o,omitempty"`
 	Dead        bool   `json:"d,omitempty"`
 }
 
-// Message is a probe or its answer: the sender's row first, then news.
+// Message is a probe or the response to one: the sender's row first, then status updates.
 type Message struct {
 	Rows []Row `json:"r"`
 }
 
-// Table is one entry's view of the others. Lock order: mu before that of the
-// state, and mu is not held while calling a peer.
+// Table is one entry's view of the others. Lock order: mu is acquired before the lock of the state,
+// and mu is not held while calling a peer.
 type Table struct {
 	Clock       clock.Clock
 	Logger      log.Logger
 	Name        string
 	Incarnation uint64
 	State       func() state.State
-	// Probe sends a message to an entry and returns its answer.
+	// Probe sends a message to an entry and returns the response.
 	Probe func(ctx context.Context, entry string, m Message) (Message, error)
-	// ProbeVia has a helper probe an entry, and returns nil if that answered.
+	// ProbeVia makes a helper probe an entry, and returns nil if the entry responded.
 	ProbeVia func(ctx context.Context, helper, entry string) error
-	// Shuffle mixes n things; nil for at random.
+	// Shuffle shuffles n elements; nil shuffles at random.
 	Shuffle func(n int, swap func(i, j int))
 
-	mu    sync.Mutex
-	beat  uint64
-	rows  map[string]*knownRow
-	order []string // entries still to probe in this round
+	mu         sync.Mutex
+	refutation uint64
+	rows       map[string]*knownRow
+	order      []string // entries still to probe in this round
 }
 
 type knownRow struct {
 	Row
-	left int // times that the row is still sent on
+	sendsLeft int // how often the row is still to be sent
 }
 
 // Run probes until the context ends.
@@ -79,8 +79,7 @@
 	}
 }
 
-// next returns the entry to probe; every entry has its turn in each round, in
-// a random order.
+// next returns the entry to probe; every entry is probed once in each round, in random order.
 func (t *Table) next() string {
 	others := t.others()
 	t.mu.Lock()
@@ -109,7 +108,7 @@
 	return names
 }
 
-// probe asks an entry whether it is alive, and helpers if it does not answer.
+// probe checks whether an entry is alive, with the help of others if it does not respond.
 func (t *Table) probe(ctx context.Context, entry string) {
 	if t.Ping(ctx, entry) == nil {
 		return
@@ -121,34 +120,34 @@
 	defer t.mu.Unlock()
 	r := t.row(entry)
 	if !r.Dead {
-		t.Logger.Info().Str("entry", entry).Msg("entry does not answer")
+		t.Logger.Info().Str("entry", entry).Msg("entry does not respond")
 		r.Dead = true
-		r.left = t.spread()
+		r.sendsLeft = t.sendCount()
 	}
 }
 
-// Ping probes an entry and returns nil if it answered.
+// Ping probes an entry and returns nil if it responded.
 func (t *Table) Ping(ctx context.Context, entry string) error {
 	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	answer, err := t.Probe(bounded, entry, t.compose(entry))
+	response, err := t.Probe(bounded, entry, t.compose(entry))
 	if err == nil {
-		t.merge(answer)
+		t.merge(response)
 	}
 	return err
 }
 
-// probeByHelpers reports whether some other entry reaches it.
+// probeByHelpers reports whether any helper reaches the entry.
 func (t *Table) probeByHelpers(ctx context.Context, entry string) bool {
 	others := slices.DeleteFunc(t.others(), func(n string) bool { return n == entry || !t.Alive(n) })
-	asked := t.shuffled(others)[:min(helpers, len(others))]
-	reached := make(chan bool, len(asked))
+	selected := t.shuffled(others)[:min(helpers, len(others))]
+	reached := make(chan bool, len(selected))
 	bounded, cancel := context.WithTimeout(ctx, 2*probeTimeout)
 	defer cancel()
-	for _, h := range asked {
-		go helping{t, h, entry, reached}.run(bounded)
+	for _, h := range selected {
+		go helperProbe{t, h, entry, reached}.run(bounded)
 	}
-	for range asked {
+	for range selected {
 		if <-reached {
 			return true
 		}
@@ -156,24 +155,26 @@
 	return false
 }
 
-// helping is one helper's probe.
-type helping struct {
+// helperProbe is one helper's probe.
+type helperProbe struct {
 	t       *Table
 	helper  string
 	entry   string
 	reached chan<- bool
 }
 
-func (h helping) run(ctx context.Context) { h.reached <- h.t.ProbeVia(ctx, h.helper, h.entry) == nil }
+func (h helperProbe) run(ctx context.Context) {
+	h.reached <- h.t.ProbeVia(ctx, h.helper, h.entry) == nil
+}
 
-// others returns the present entries but this one.
+// others returns the present entries except this one.
 func (t *Table) others() []string {
 	return slices.DeleteFunc(t.State().MemberNames(), func(n string) bool { return n == t.Name })
 }
 
-// row returns what is known of an entry, a fresh row for nothing; t.mu is held.
-// Its process is the one of the roster, or news of it would count as news of
-// an older one where it is better known.
+// row returns the row of an entry, a new row if there is none; t.mu is held. Its incarnation is the
+// one of the membership; otherwise status updates about it would count as those of an older
+// incarnation at entries that know the newer one.
 func (t *Table) row(entry string) *knownRow {
 	if t.rows == nil {
 		t.rows = make(map[string]*knownRow)
@@ -187,36 +188,36 @@
 	return r
 }
 
-// spread returns how often a new row is sent on; t.mu is held.
-func (t *Table) spread() int { return newsSpread * bits.Len(uint(len(t.rows)+1)) }
+// sendCount returns how often a new row is sent; t.mu is held.
+func (t *Table) sendCount() int { return spreadFactor * bits.Len(uint(len(t.rows)+1)) }
 
-// compose writes a message to an entry; one that is taken for dead hears so,
-// and can object.
+// compose builds a message to an entry; an entry that is considered dead is informed of that, and
+// can refute it.
 func (t *Table) compose(to string) Message {
 	offset := t.State().Offset
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m := Message{Rows: []Row{{Entry: t.Name, Incarnation: t.Incarnation, Refutation: t.beat, Offset: offset}}}
+	m := Message{Rows: []Row{{Entry: t.Name, Incarnation: t.Incarnation, Refutation: t.refutation, Offset: offset}}}
 	if r := t.row(to); r.Dead {
 		m.Rows = append(m.Rows, r.Row)
 	}
-	var news []*knownRow
+	var updates []*knownRow
 	for _, r := range t.rows {
-		if r.left > 0 && r.Entry != to {
-			news = append(news, r)
+		if r.sendsLeft > 0 && r.Entry != to {
+			updates = append(updates, r)
 		}
 	}
-	slices.SortFunc(news, func(a, b *knownRow) int {
-		return cmp.Or(cmp.Compare(b.left, a.left), cmp.Compare(a.Entry, b.Entry))
+	slices.SortFunc(updates, func(a, b *knownRow) int {
+		return cmp.Or(cmp.Compare(b.sendsLeft, a.sendsLeft), cmp.Compare(a.Entry, b.Entry))
 	})
-	for _, r := range news[:min(newsSent, len(news))] {
-		r.left--
+	for _, r := range updates[:min(rowsPerMessage, len(updates))] {
+		r.sendsLeft--
 		m.Rows = append(m.Rows, r.Row)
 	}
 	return m
 }
 
-// Receive merges another entry's message and returns the answer to it.
+// Receive merges another entry's message and returns the response to it.
 func (t *Table) Receive(m Message) Message {
 	t.merge(m)
 	if len(m.Rows) == 0 {
@@ -230,33 +231,33 @@
 	defer t.mu.Unlock()
 	for _, row := range m.Rows {
 		if row.Entry == t.Name {
-			t.object(row)
+			t.refute(row)
 			continue
 		}
 		known := t.row(row.Entry)
 		known.Offset = max(known.Offset, row.Offset)
-		if !overrides(row, known.Row) {
+		if !supersedes(row, known.Row) {
 			continue
 		}
 		changed := row.Dead != known.Dead
 		row.Offset = known.Offset
 		known.Row = row
 		if changed {
-			known.left = t.spread()
+			known.sendsLeft = t.sendCount()
 		}
 	}
 }
 
-// object raises this entry's beat above one at which it was taken for dead.
-func (t *Table) object(row Row) {
-	if row.Dead && row.Incarnation <= t.Incarnation && row.Refutation >= t.beat {
-		t.beat = row.Refutation + 1
+// refute raises this entry's refutation counter above the one at which it was reported as dead.
+func (t *Table) refute(row Row) {
+	if row.Dead && row.Incarnation <= t.Incarnation && row.Refutation >= t.refutation {
+		t.refutation = row.Refutation + 1
 	}
 }
 
-// overrides reports whether a row is newer than what is known; at the same
-// beat, death is.
-func overrides(a, b Row) bool {
+// supersedes reports whether a row is newer than the known one; with equal refutation counters,
+// dead supersedes alive.
+func supersedes(a, b Row) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
 	}
@@ -266,7 +267,7 @@
 	return a.Dead && !b.Dead
 }
 
-// Alive reports whether the entry is not taken for dead.
+// Alive reports whether the entry is not considered dead.
 func (t *Table) Alive(entry string) bool {
 	if entry == t.Name {
 		return true
@@ -277,8 +278,7 @@
 	return !ok || !r.Dead
 }
 
-// AliveEntries returns the present entries that are not taken for dead, this
-// one included.
+// AliveEntries returns the present entries that are not considered dead, including this one.
 func (t *Table) AliveEntries() []string {
 	return slices.DeleteFunc(t.State().MemberNames(), func(n string) bool { return !t.Alive(n) })
 }
@@ -289,7 +289,7 @@
 	Alive bool `json:"alive"`
 }
 
-// Dump returns what is known of the others, by name.
+// Dump returns the status of the other entries, by name.
 func (t *Table) Dump() []Member {
 	var list []Member
 	for _, n := range t.others() {
--- a/services/members/members_test.go
+++ b/services/members/members_test.go
@@ -20,15 +20,15 @@
 	"github.com/yardbridge/yardbridge/models/state"
 )
 
-// mesh is some tables in memory with cuts between them.
+// mesh is a set of tables in memory, with network cuts between them.
 type mesh struct {
 	tables map[string]*Table
 	frozen map[string]bool
-	cut    map[[2]string]bool // from, to: messages are lost one way
+	cut    map[[2]string]bool // from, to: messages are lost in one direction
 	sent   atomic.Int64
 }
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
 func newMesh(n int) *mesh {
 	m := &mesh{tables: make(map[string]*Table), frozen: make(map[string]bool), cut: make(map[[2]string]bool)}
@@ -46,8 +46,8 @@
 		t := &Table{Shuffle: random.Shuffle, Name: name, Incarnation: 1, State: func() state.State { return s }}
 		t.Probe = func(_ context.Context, to string, msg Message) (Message, error) { return m.send(name, to, msg) }
 		t.ProbeVia = func(ctx context.Context, helper, entry string) error {
-			if m.lost(name, helper) {
-				return errNoAnswer
+			if m.isCut(name, helper) {
+				return errNoResponse
 			}
 			return m.tables[helper].Ping(ctx, entry)
 		}
@@ -56,19 +56,19 @@
 	return m
 }
 
-func (m *mesh) lost(from, to string) bool {
+func (m *mesh) isCut(from, to string) bool {
 	return m.frozen[from] || m.frozen[to] || m.cut[[2]string{from, to}] || m.cut[[2]string{to, from}]
 }
 
 func (m *mesh) send(from, to string, msg Message) (Message, error) {
 	m.sent.Add(1)
-	if m.lost(from, to) {
-		return Message{}, errNoAnswer
+	if m.isCut(from, to) {
+		return Message{}, errNoResponse
 	}
 	return m.tables[to].Receive(msg), nil
 }
 
-// round lets every table probe once.
+// round makes every table probe once.
 func (m *mesh) round() {
 	for _, name := range slices.Sorted(maps.Keys(m.tables)) {
 		if t := m.tables[name]; !m.frozen[name] {
@@ -77,8 +77,8 @@
 	}
 }
 
-// seenDead counts the tables that are awake and take an entry for dead.
-func (m *mesh) seenDead(entry string) int {
+// countDead counts the running tables that consider an entry dead.
+func (m *mesh) countDead(entry string) int {
 	n := 0
 	for name, t := range m.tables {
 		if !m.frozen[name] && !t.Alive(entry) {
@@ -88,7 +88,7 @@
 	return n
 }
 
-func TestFrozenEntryIsSeenByAllAndComesBack(t *testing.T) {
+func TestFrozenEntryIsDetectedByAllAndRecovers(t *testing.T) {
 	for _, n := range []int{9, 60, 120} {
 		m := newMesh(n)
 		for range 5 {
@@ -96,35 +96,35 @@
 		}
 		m.frozen["e003"] = true
 		rounds := 0
-		for m.seenDead("e003") < n-1 {
+		for m.countDead("e003") < n-1 {
 			m.round()
 			rounds++
 		}
-		// News that reaches all but those who knew the entry best takes as many
+		// If a status update reached all but those that knew the entry best, it would take as many
 		// rounds as there are entries.
-		assert.Assert(t, rounds <= 25, "%d rounds among %d", rounds, n)
+		assert.Assert(t, rounds <= 25, "took %d rounds with %d entries", rounds, n)
 		for name := range m.tables {
 			if name != "e003" {
-				assert.Equal(t, m.seenDead(name), 0, "false alarm about %s among %d", name, n)
+				assert.Equal(t, m.countDead(name), 0, "false alarm about %s with %d entries", name, n)
 			}
 		}
 		m.frozen["e003"] = false
-		for m.seenDead("e003") > 0 {
+		for m.countDead("e003") > 0 {
 			m.round()
 		}
 	}
 }
 
-func TestOneWayCutBetweenTwoIsNoDeath(t *testing.T) {
+func TestOneWayCutIsNotDetectedAsDead(t *testing.T) {
 	m := newMesh(9)
 	m.cut[[2]string{"e001", "e002"}] = true
 	for range 50 {
 		m.round()
 	}
-	assert.Equal(t, m.seenDead("e001")+m.seenDead("e002"), 0)
+	assert.Equal(t, m.countDead("e001")+m.countDead("e002"), 0)
 }
 
-func TestMessagesDoNotGrowWithTheEntries(t *testing.T) {
+func TestMessageCountDoesNotGrowWithEntries(t *testing.T) {
 	for _, n := range []int{9, 120} {
 		m := newMesh(n)
 		m.round()
