--- a/services/snapshots/snapshots.go
+++ b/services/snapshots/snapshots.go
@@ -13,12 +13,12 @@
 	"github.com/yardbridge/yardbridge/modules/log"
 )
 
-// The times of snapshots.
+// The timing of snapshots.
 const (
 	checkPeriod = 5 * time.Second
 	putTimeout  = 2 * time.Minute
-	// every is the most appends between two snapshots.
-	every = 200_000
+	// maxAppends is the maximum number of appends between two snapshots.
+	maxAppends = 200_000
 )
 
 // Snapshotter takes snapshots while its entry holds the role.
@@ -37,7 +37,7 @@
 	for ctx.Err() == nil {
 		if s := t.State(); s.HoldsRole(record.RoleSnapshots, t.Name, t.Incarnation) && t.due(s) {
 			if err := t.Take(ctx, s); err != nil {
-				t.Logger.Warn().Err(err).Msg("snapshot not taken")
+				t.Logger.Warn().Err(err).Msg("could not take a snapshot")
 			}
 		}
 		select {
@@ -47,13 +47,13 @@
 	}
 }
 
-// due reports whether a quarter of the retention has passed since the last
-// snapshot, or many records have come.
+// due reports whether a quarter of the retention has passed since the last snapshot, or many
+// records have been appended.
 func (t *Snapshotter) due(s state.State) bool {
-	return s.Now.Sub(s.SnapshotAt) >= t.Retention/4 || s.Offset-s.SnapshotOffset >= every
+	return s.Now.Sub(s.SnapshotAt) >= t.Retention/4 || s.Offset-s.SnapshotOffset >= maxAppends
 }
 
-// Take puts a state on the log, one chunk an append.
+// Take writes a state to the log, one chunk per append.
 func (t *Snapshotter) Take(ctx context.Context, s state.State) error {
 	data, err := s.Encode()
 	if err != nil {
