--- a/models/config/customer.go
+++ b/models/config/customer.go
@@ -74,8 +74,8 @@
 // CustomerByKey returns the customer that a key belongs to, nil for none. Keys are looked up by
 // their hash, so that the time of a lookup reveals nothing about the existing keys.
 func (c *Config) CustomerByKey(key string) *Customer {
-	h, could := HashKey(key)
-	if !could {
+	h, valid := HashKey(key)
+	if !valid {
 		return nil
 	}
 	return c.byHash[h]
--- a/models/state/fold_instance.go
+++ b/models/state/fold_instance.go
@@ -54,7 +54,7 @@
 			s.Entries = s.Entries.With(name, e)
 		}
 	}
-	return s.forgetGone(), nil
+	return s.dropGone(), nil
 }
 
 func (s State) updateWorker(w fleet.Worker) State {
@@ -83,8 +83,8 @@
 // if it returns within that time no move is needed.
 const goneRetention = time.Hour
 
-// forgetGone drops the workers that have been gone for longer than the retention.
-func (s State) forgetGone() State {
+// dropGone drops the workers that have been gone for longer than the retention.
+func (s State) dropGone() State {
 	for id := range s.index.gone.All() {
 		if i, _ := s.Instances.Get(id); s.Now.Sub(i.GoneAt) > goneRetention {
 			s = s.withoutInstance(id)
--- a/models/state/fold_membership.go
+++ b/models/state/fold_membership.go
@@ -36,7 +36,7 @@
 		LostAt:      lostAt,
 	})
 	if replaced {
-		return s.disown(from.name).abandonRuns(from.name, old.Incarnation).adoptOrphans(), nil
+		return s.reassignSlots(from.name).abandonRuns(from.name, old.Incarnation).adoptOrphans(), nil
 	}
 	return s.adoptOrphans(), nil
 }
@@ -69,11 +69,11 @@
 		e.LostAt = s.Now
 	}
 	s = s.withEntry(name, e)
-	return s.disown(name).abandonRuns(name, e.Incarnation), nil
+	return s.reassignSlots(name).abandonRuns(name, e.Incarnation), nil
 }
 
-// disown distributes the slots that an entry owned to the others.
-func (s State) disown(name string) State {
+// reassignSlots distributes the slots that an entry owned to the others.
+func (s State) reassignSlots(name string) State {
 	for _, i := range s.Instances.All() {
 		if i.Owner != name {
 			continue
--- a/models/state/index_run.go
+++ b/models/state/index_run.go
@@ -56,7 +56,7 @@
 func (x runIndex) with(id string, r Run) runIndex {
 	x = x.countUsedCores(r, 1)
 	if r.Ended() {
-		x.endedRuns = x.endedRuns.With(forgetKey(id, r), id)
+		x.endedRuns = x.endedRuns.With(expiryKey(id, r), id)
 		return x
 	}
 	x.active = x.active.With(id, struct{}{})
@@ -74,7 +74,7 @@
 func (x runIndex) without(id string, r Run) runIndex {
 	x = x.countUsedCores(r, -1)
 	if r.Ended() {
-		x.endedRuns = x.endedRuns.Without(forgetKey(id, r))
+		x.endedRuns = x.endedRuns.Without(expiryKey(id, r))
 		return x
 	}
 	x.active = x.active.Without(id)
@@ -130,9 +130,9 @@
 	return s
 }
 
-// forgetKey orders ended runs by the time at which they may be dropped: their team has had time to
+// expiryKey orders ended runs by the time at which they may be dropped: their team has had time to
 // see them, and their ID can't be submitted again.
-func forgetKey(id string, r Run) string {
+func expiryKey(id string, r Run) string {
 	at := r.EndedAt.Add(endedRetention)
 	if expiry, err := oncekey.Expiry(id); err == nil && expiry.After(at) {
 		at = expiry
--- a/models/state/rules_test.go
+++ b/models/state/rules_test.go
@@ -192,7 +192,7 @@
 				continue
 			}
 			f := h.putBatch(p.batch)
-			if rapid.Bool().Draw(t, "answer lost") {
+			if rapid.Bool().Draw(t, "response lost") {
 				h.putBatch(p.batch)
 			}
 			p.op.Output = f.Verdicts[0] == nil
--- a/models/state/snapshot.go
+++ b/models/state/snapshot.go
@@ -118,8 +118,8 @@
 	a.parts[partKey{c.Offset, string(c.Sum), c.Index}] = c.Data
 	var buffer bytes.Buffer
 	for i := range c.Count {
-		part, there := a.parts[partKey{c.Offset, string(c.Sum), i}]
-		if !there {
+		part, found := a.parts[partKey{c.Offset, string(c.Sum), i}]
+		if !found {
 			return State{}, false
 		}
 		buffer.Write(part)
--- a/node/entries_test.go
+++ b/node/entries_test.go
@@ -37,8 +37,8 @@
 	// An entry without a start time is another writer's if the worker has stated one before.
 	n.applyWorkers(t.Context(), []port.Record{{Key: "b", Value: good, Offset: 7}, {Key: "c", Value: good}}, false)
 	assert.DeepEqual(t, listed(), []worker.ID{"b", "c"})
-	for _, whole := range []bool{true, false, true} {
-		n.applyWorkers(t.Context(), []port.Record{{Key: "b", Value: good}, {Key: "c", Value: good}}, whole)
+	for _, complete := range []bool{true, false, true} {
+		n.applyWorkers(t.Context(), []port.Record{{Key: "b", Value: good}, {Key: "c", Value: good}}, complete)
 		assert.DeepEqual(t, listed(), []worker.ID{"c"})
 	}
 	n.applyWorkers(t.Context(), []port.Record{{Key: "b"}}, false)
--- a/node/node.go
+++ b/node/node.go
@@ -347,7 +347,7 @@
 	f := follow.Follower{
 		Store: n.Ports.Store, Partition: n.Ports.Feeds.Workers, Clock: n.Clock, Logger: n.Logger,
 		Gap: func() time.Duration { return workersGap }, Wake: n.wakeWorkers, Idle: n.ownsNoPool,
-		Apply: func(records []port.Record, whole bool) { n.applyWorkers(ctx, records, whole) },
+		Apply: func(records []port.Record, complete bool) { n.applyWorkers(ctx, records, complete) },
 	}
 	f.Run(ctx)
 }
@@ -364,7 +364,7 @@
 // applyWorkers applies records of the platform's list of workers. An entry that can't be read, or
 // that lacks what a worker states of itself, may be another writer's: it names no usable worker,
 // and what an earlier entry stated no longer counts.
-func (n *Node) applyWorkers(ctx context.Context, records []port.Record, whole bool) {
+func (n *Node) applyWorkers(ctx context.Context, records []port.Record, complete bool) {
 	newest := make(map[worker.ID]*worker.Worker, len(records)) // nil for a removed worker
 	removed := make(map[worker.ID]bool)
 	for _, r := range records {
@@ -374,7 +374,7 @@
 	var current []worker.Worker
 	var removedIDs []worker.ID
 	n.mu.Lock()
-	if whole {
+	if complete {
 		clear(n.workers)
 		maps.DeleteFunc(n.knownStarts, func(id worker.ID, _ bool) bool { _, listed := newest[id]; return !listed })
 	}
@@ -392,8 +392,8 @@
 	}
 	n.mu.Unlock()
 	for _, o := range n.ownerList() {
-		o.UpdateWorkers(ctx, current, whole)
-		if !whole && len(removedIDs) > 0 {
+		o.UpdateWorkers(ctx, current, complete)
+		if !complete && len(removedIDs) > 0 {
 			o.UnlistWorkers(removedIDs)
 		}
 	}
--- a/services/directory/directory.go
+++ b/services/directory/directory.go
@@ -165,12 +165,12 @@
 }
 
 // apply applies records to a new view.
-func (d *Directory) apply(records []port.Record, whole bool) {
+func (d *Directory) apply(records []port.Record, complete bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	next := &View{Nodes: make(map[string]Node), Pools: make(map[string]Ownership)}
 	if d.view != nil {
-		if !whole {
+		if !complete {
 			for k, n := range d.view.Nodes {
 				next.Nodes[k] = n
 			}
@@ -212,7 +212,7 @@
 		}
 	}
 	for name, n := range last.Nodes {
-		if _, there := next.Nodes[name]; !there {
+		if _, present := next.Nodes[name]; !present {
 			d.Logger.Info().Str("event", "directory").Str("node", name).Uint64("life", n.Incarnation).
 				Uint64("end", next.End).Str("outcome", "absent").Msg("node is no longer registered")
 		}
--- a/services/follow/follow.go
+++ b/services/follow/follow.go
@@ -33,9 +33,9 @@
 	// Idle reports whether nobody needs the partition now: then nothing is read until a wake-up,
 	// and everything after it. Nil means never.
 	Idle func() bool
-	// Apply receives records in the order of the partition. If whole is true they are the newest
+	// Apply receives records in the order of the partition. If complete is true they are the newest
 	// records of all keys, and other keys no longer exist.
-	Apply func(records []port.Record, whole bool)
+	Apply func(records []port.Record, complete bool)
 
 	failingSince time.Time    // since when reads fail
 	lastRead     atomic.Int64 // when the last successful read was, in nanoseconds since 1970
@@ -53,7 +53,7 @@
 			f.waitForWake(ctx)
 			continue
 		}
-		from, err := f.readWhole(ctx)
+		from, err := f.readNewest(ctx)
 		for err == nil && ctx.Err() == nil && !f.idle() {
 			f.pause(ctx)
 			from, err = f.readTail(ctx, from)
@@ -77,9 +77,9 @@
 	}
 }
 
-// readWhole reads the newest records of all keys and returns the offset to continue from. The pages
+// readNewest reads the newest records of all keys and returns the offset to continue from. The pages
 // are no snapshot; changes in between are read after them.
-func (f *Follower) readWhole(ctx context.Context) (uint64, error) {
+func (f *Follower) readNewest(ctx context.Context) (uint64, error) {
 	var records []port.Record
 	from := uint64(0)
 	after := ""
--- a/services/follow/follow_test.go
+++ b/services/follow/follow_test.go
@@ -21,7 +21,7 @@
 // as soon as the node does.
 func TestNothingIsReadWhileIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var whole, tails atomic.Int64
+		var complete, tails atomic.Int64
 		var idle atomic.Bool
 		idle.Store(true)
 		wake := make(chan struct{}, 1)
@@ -29,7 +29,7 @@
 		f := Follower{
 			Store: port.Store{
 				Newest: func(context.Context, port.Partition, string) (port.Page, error) {
-					whole.Add(1)
+					complete.Add(1)
 					return port.Page{Records: []port.Record{{Key: "w"}}, End: 1}, nil
 				},
 				Read: func(context.Context, port.Partition, uint64, time.Duration) (port.Tail, error) {
@@ -38,7 +38,7 @@
 				},
 			},
 			Logger: log.Nop(), Gap: func() time.Duration { return 250 * time.Millisecond }, Wake: wake, Idle: idle.Load,
-			Apply: func(_ []port.Record, whole bool) { applied <- whole },
+			Apply: func(_ []port.Record, complete bool) { applied <- complete },
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
@@ -47,21 +47,21 @@
 			close(ended)
 		}()
 		time.Sleep(time.Minute)
-		assert.Equal(t, whole.Load()+tails.Load(), int64(0))
+		assert.Equal(t, complete.Load()+tails.Load(), int64(0))
 
 		idle.Store(false)
 		wake <- struct{}{}
 		synctest.Wait()
 		assert.Assert(t, <-applied)
 		time.Sleep(time.Second)
-		assert.Equal(t, whole.Load(), int64(1))
+		assert.Equal(t, complete.Load(), int64(1))
 		assert.Assert(t, tails.Load() >= 3)
 
 		idle.Store(true)
 		time.Sleep(time.Second)
-		read := whole.Load() + tails.Load()
+		read := complete.Load() + tails.Load()
 		time.Sleep(time.Minute)
-		assert.Equal(t, whole.Load()+tails.Load(), read)
+		assert.Equal(t, complete.Load()+tails.Load(), read)
 		cancel()
 		<-ended
 	})
--- a/services/journal/claim.go
+++ b/services/journal/claim.go
@@ -74,15 +74,15 @@
 }
 
 // claimPrimary fences the primary partition and returns its newest records.
-func (j *Journal) claimPrimary(ctx context.Context, mine claim, before reading) ([]port.Record, error) {
-	if err := j.fence(ctx, &j.primary, j.Partition, mine); err != nil {
+func (j *Journal) claimPrimary(ctx context.Context, own claim, before reading) ([]port.Record, error) {
+	if err := j.fence(ctx, &j.primary, j.Partition, own); err != nil {
 		return nil, err
 	}
 	records, err := j.readSince(ctx, before)
 	if err != nil {
 		return nil, err
 	}
-	if by, err := decodeRecord[claim](records, keyClaim); err != nil || by != mine {
+	if by, err := decodeRecord[claim](records, keyClaim); err != nil || by != own {
 		return nil, errkind.New(errkind.Conflict, "partition was claimed by %q at epoch %d (%v)", by.Node, by.Epoch, err)
 	}
 	return records, nil
--- a/services/journal/standby_test.go
+++ b/services/journal/standby_test.go
@@ -30,11 +30,11 @@
 }
 
 // withFakeClock runs a test with a fake clock, and a context that ends before the test does.
-func withFakeClock(t *testing.T, play func(t *testing.T, ctx context.Context, w *world.World)) {
+func withFakeClock(t *testing.T, run func(t *testing.T, ctx context.Context, w *world.World)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		play(t, ctx, world.New(1))
+		run(t, ctx, world.New(1))
 	})
 }
 
@@ -58,7 +58,7 @@
 // persisted before the primary responds again, and an owner rejects requests that wait longer than
 // 0.4 s.
 func TestSurgeWhilePrimaryIsUnavailable(t *testing.T) {
-	for _, absence := range []world.Outage{world.Refusing, world.Unresponsive} {
+	for _, outage := range []world.Outage{world.Refusing, world.Unresponsive} {
 		withFakeClock(t, func(t *testing.T, ctx context.Context, w *world.World) {
 			j := newJournal(w, "n1")
 			_, err := j.Claim(ctx, "n1")
@@ -73,7 +73,7 @@
 			for n := range 20 {
 				write(n)
 			}
-			w.SetOutage(primaryAt, absence)
+			w.SetOutage(primaryAt, outage)
 			began, longest := time.Now(), time.Duration(0)
 			n := 20
 			for ; time.Since(began) < 6*time.Second; n++ {
@@ -88,7 +88,7 @@
 				write(n)
 				n++
 			}
-			w.SetOutage(standbyAt, absence) // everything is in the primary again, and the standby is not needed
+			w.SetOutage(standbyAt, outage) // everything is in the primary again, and the standby is not needed
 			time.Sleep(standbyMinPeriod)
 			write(n)
 			time.Sleep(2 * standbyTimeout)
@@ -204,8 +204,8 @@
 		w.SetOutage(primaryAt, world.Available)
 		records, err := newJournal(w, "n2").Claim(ctx, "n2")
 		assert.NilError(t, err)
-		_, there := values(records)["c"]
-		assert.Assert(t, there || !persisted, "a record was reported as persisted but is lost")
+		_, found := values(records)["c"]
+		assert.Assert(t, found || !persisted, "a record was reported as persisted but is lost")
 	})
 }
 
