--- a/node/script_event_test.go
+++ b/node/script_event_test.go
@@ -38,6 +38,7 @@
 	Within tomlfile.Duration `toml:"within"`
 }
 
+// applyEvent carries out an event.
 func (st *scenario) applyEvent(e scriptEvent) {
 	if epochs := st.owners(); st.script.KeepOwners {
 		st.mu.Lock()
