--- a/services/follow/follow_test.go
+++ b/services/follow/follow_test.go
@@ -16,20 +16,20 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// TestNothingIsReadWhileIdle: a partition of 3,000 workers, each of which changes its
-// entry every 1.5 s, costs a node that does not need it nothing, and is there as a whole
-// as soon as it does.
+// TestNothingIsReadWhileIdle checks that a partition of 3,000 workers, each of which changes its
+// entry every 1.5 s, costs nothing for a node that does not need it, and that it is read completely
+// as soon as the node does.
 func TestNothingIsReadWhileIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var whole, tails atomic.Int64
+		var complete, tails atomic.Int64
 		var idle atomic.Bool
 		idle.Store(true)
-		hurry := make(chan struct{}, 1)
+		wake := make(chan struct{}, 1)
 		applied := make(chan bool, 100)
 		f := Follower{
 			Store: port.Store{
 				Newest: func(context.Context, port.Partition, string) (port.Page, error) {
-					whole.Add(1)
+					complete.Add(1)
 					return port.Page{Records: []port.Record{{Key: "w"}}, End: 1}, nil
 				},
 				Read: func(context.Context, port.Partition, uint64, time.Duration) (port.Tail, error) {
@@ -37,8 +37,8 @@
 					return port.Tail{End: 1}, nil
 				},
 			},
-			Logger: log.Nop(), Gap: func() time.Duration { return 250 * time.Millisecond }, Wake: hurry, Idle: idle.Load,
-			Apply: func(_ []port.Record, whole bool) { applied <- whole },
+			Logger: log.Nop(), Gap: func() time.Duration { return 250 * time.Millisecond }, Wake: wake, Idle: idle.Load,
+			Apply: func(_ []port.Record, complete bool) { applied <- complete },
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
@@ -47,21 +47,21 @@
 			close(ended)
 		}()
 		time.Sleep(time.Minute)
-		assert.Equal(t, whole.Load()+tails.Load(), int64(0))
+		assert.Equal(t, complete.Load()+tails.Load(), int64(0))
 
 		idle.Store(false)
-		hurry <- struct{}{}
+		wake <- struct{}{}
 		synctest.Wait()
 		assert.Assert(t, <-applied)
 		time.Sleep(time.Second)
-		assert.Equal(t, whole.Load(), int64(1))
+		assert.Equal(t, complete.Load(), int64(1))
 		assert.Assert(t, tails.Load() >= 3)
 
 		idle.Store(true)
 		time.Sleep(time.Second)
-		read := whole.Load() + tails.Load()
+		read := complete.Load() + tails.Load()
 		time.Sleep(time.Minute)
-		assert.Equal(t, whole.Load()+tails.Load(), read)
+		assert.Equal(t, complete.Load()+tails.Load(), read)
 		cancel()
 		<-ended
 	})
