--- a/services/jobs/decider.go
+++ b/services/jobs/decider.go
@@ -17,13 +17,13 @@
 	"github.com/yardbridge/yardbridge/services/platform"
 )
 
-// The times of the decider.
+// Intervals and timeouts of the decider.
 const (
-	period       = time.Second
-	callTimeout  = 5 * time.Second
-	leaseLife    = 30 * time.Second
-	renewPeriod  = 10 * time.Second
-	placeTimeout = 5 * time.Second
+	period         = time.Second
+	callTimeout    = 5 * time.Second
+	leaseTTL       = 30 * time.Second
+	renewPeriod    = 10 * time.Second
+	proposeTimeout = 5 * time.Second
 )
 
 // Decider places and follows runs while its entry holds the role, starts what
@@ -38,21 +38,21 @@
 	Alive       func() []string
 	Propose     func(ctx context.Context, records []record.Record) ([]state.Verdict, error)
 
-	starts   inflight.Counter // attempts on their way to workers
-	mu       sync.Mutex
-	waiting  map[string]map[string]Reason // by pool, then by run
-	started  map[string]bool              // attempts that this process has tried to start
-	failures map[string]int
-	missing  map[string]int
-	followed time.Time
-	renewed  time.Time
+	starts     inflight.Counter // start calls in flight
+	mu         sync.Mutex
+	waiting    map[string]map[string]Reason // by pool, then by run
+	started    map[string]bool              // attempts that this process has tried to start
+	failures   map[string]int
+	missing    map[string]int
+	followedAt time.Time
+	renewedAt  time.Time
 
-	placer    Placer  // only the loop uses it
-	reports   reports // only the loop uses it
-	submitted submittedBasis
+	placer              Placer  // only the loop uses it
+	reports             reports // only the loop uses it
+	lastSubmissionCheck submissionCheck
 }
 
-// Run decides on every change and from time to time until the context ends.
+// Run decides on every change of the state and periodically until the context ends.
 func (d *Decider) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		s, changed := d.Changed()
@@ -65,20 +65,21 @@
 	}
 }
 
-// RunOnce takes one step for a state.
+// RunOnce starts placed attempts, renews leases and, if the entry holds the role, follows and
+// places runs for a state.
 func (d *Decider) RunOnce(ctx context.Context, s state.State) {
 	d.startPlaced(ctx, s)
 	now := d.Clock.Now()
-	if now.Sub(d.renewed) >= renewPeriod {
-		d.renewed = now
+	if now.Sub(d.renewedAt) >= renewPeriod {
+		d.renewedAt = now
 		d.renew(ctx, s)
-		d.forgetStarted(s)
+		d.pruneStarted(s)
 	}
 	if !s.HoldsRole(record.RoleJobs, d.Name, d.Incarnation) {
 		return
 	}
-	if now.Sub(d.followed) >= period {
-		d.followed = now
+	if now.Sub(d.followedAt) >= period {
+		d.followedAt = now
 		d.follow(ctx, s)
 	}
 	d.place(ctx, s, now)
@@ -88,19 +89,19 @@
 // has accepted the placement, and no other process may start it.
 func (d *Decider) startPlaced(ctx context.Context, s state.State) {
 	for id, r := range s.PlacedBy(d.Name) {
-		if r.Incarnation != d.Incarnation || !d.first(taskID(id, r.Attempt)) {
+		if r.Incarnation != d.Incarnation || !d.markStarted(taskID(id, r.Attempt)) {
 			continue
 		}
 		d.starts.Begin()
-		go starting{d, id, r}.run(ctx)
+		go taskStart{d, id, r}.start(ctx)
 	}
 }
 
-// AwaitStarts returns once no start of this process is on its way.
+// AwaitStarts waits until no start call of this process is in flight.
 func (d *Decider) AwaitStarts() { d.starts.Wait() }
 
-// first reports whether an attempt has not been started yet, and notes it.
-func (d *Decider) first(task string) bool {
+// markStarted records an attempt as started and reports whether it had not been started before.
+func (d *Decider) markStarted(task string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.started == nil {
@@ -113,8 +114,8 @@
 	return true
 }
 
-// forgetStarted drops the attempts of runs that the state has forgotten.
-func (d *Decider) forgetStarted(s state.State) {
+// pruneStarted drops the attempts of runs that the state no longer has.
+func (d *Decider) pruneStarted(s state.State) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for task := range d.started {
@@ -124,24 +125,24 @@
 	}
 }
 
-// starting is one attempt on its way to its worker.
-type starting struct {
-	d   *Decider
-	id  string
-	job state.Run
+// taskStart is the start call of one attempt.
+type taskStart struct {
+	d      *Decider
+	id     string
+	jobRun state.Run
 }
 
-func (t starting) run(ctx context.Context) {
+func (t taskStart) start(ctx context.Context) {
 	defer t.d.starts.End()
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	r := t.job
+	r := t.jobRun
 	err := t.d.Tasks.Start(bounded, platform.Task{
 		ID: taskID(t.id, r.Attempt), Worker: r.Worker, Command: r.Job.Command,
-		Cores: r.Cores, MemoryGB: r.MemoryGB, LeaseTTL: leaseLife,
+		Cores: r.Cores, MemoryGB: r.MemoryGB, LeaseTTL: leaseTTL,
 	})
 	if err == nil {
-		return // the workers' reports tell the rest
+		return // the workers' reports show the outcome
 	}
 	t.d.Logger.Warn().Err(err).Str("run", t.id).Msg("start not confirmed")
 	if !platform.Refused(err) {
@@ -156,7 +157,7 @@
 	if len(records) == 0 {
 		return
 	}
-	bounded, cancel := context.WithTimeout(ctx, placeTimeout)
+	bounded, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	verdicts, err := d.Propose(bounded, records)
 	if err != nil {
@@ -165,12 +166,12 @@
 	}
 	for _, v := range verdicts {
 		if v != nil {
-			d.Logger.Debug().Err(v).Msg("a step of a job was overtaken")
+			d.Logger.Debug().Err(v).Msg("a record about a job was rejected, since the state has changed")
 		}
 	}
 }
 
-// renew keeps the leases of this entry's share of the workers.
+// renew renews the leases of the tasks on this entry's share of the workers.
 func (d *Decider) renew(ctx context.Context, s state.State) {
 	alive := d.Alive()
 	byWorker := make(map[string][]string)
@@ -181,19 +182,19 @@
 	}
 	for worker, ids := range byWorker {
 		bounded, cancel := context.WithTimeout(ctx, callTimeout)
-		if err := d.Tasks.Renew(bounded, worker, ids, leaseLife); err != nil {
+		if err := d.Tasks.Renew(bounded, worker, ids, leaseTTL); err != nil {
 			d.Logger.Warn().Err(err).Str("worker", worker).Msg("leases not renewed")
 		}
 		cancel()
 	}
 }
 
-// follow takes over the workers' reports.
+// follow applies the workers' reports to the runs.
 func (d *Decider) follow(ctx context.Context, s state.State) {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := d.reports.read(bounded, d.Tasks, d.Clock.Now()); err != nil {
-		d.Logger.Debug().Err(err).Msg("no reports of the workers")
+		d.Logger.Debug().Err(err).Msg("reports of the workers not read")
 		return
 	}
 	if d.failures == nil {
@@ -204,15 +205,15 @@
 	f.follow(d.reports.tasks)
 	d.propose(ctx, f.records)
 	stopAll(bounded, d.Tasks, f.orphans)
-	for _, t := range f.greedy {
+	for _, t := range f.overusing {
 		run, _, _ := runOf(t.ID)
 		r, _ := s.Runs.Get(run)
-		// It is placed by its true size the next time.
+		// The next attempt is placed by the size that was measured.
 		_ = d.Tasks.Throttle(bounded, t.Worker, t.ID, r.Cores)
 	}
 }
 
-// place submits declared jobs, places what waits, and makes room.
+// place submits declared jobs, places waiting runs, and stops runs to free capacity.
 func (d *Decider) place(ctx context.Context, s state.State, now time.Time) {
 	var records []record.Record
 	if d.submissionsDue(s, now) {
@@ -226,23 +227,23 @@
 	d.stopRuns(ctx, s, append(plan.Preempt, onDraining(s)...))
 }
 
-// submittedBasis is what the newest look for declared jobs rested on.
-type submittedBasis struct {
+// submissionCheck is the state on which the last check for due declared jobs was based.
+type submissionCheck struct {
 	version uint64 // of the configuration
 	at      time.Time
 }
 
-// submissionsDue reports whether declared jobs may have become due.
+// submissionsDue reports whether declared jobs may have become due since the last check.
 func (d *Decider) submissionsDue(s state.State, now time.Time) bool {
-	if s.Catalog.Version == d.submitted.version && now.Sub(d.submitted.at) < period {
+	if s.Catalog.Version == d.lastSubmissionCheck.version && now.Sub(d.lastSubmissionCheck.at) < period {
 		return false
 	}
-	d.submitted = submittedBasis{s.Catalog.Version, now}
+	d.lastSubmissionCheck = submissionCheck{s.Catalog.Version, now}
 	return true
 }
 
-// onDraining returns the running work that may be repeated on workers that are
-// being drained; other work is left to finish.
+// onDraining returns the repeatable running runs on workers that are being drained; other runs are
+// left to finish.
 func onDraining(s state.State) []string {
 	var ids []string
 	for worker := range s.OutOfService() {
@@ -255,7 +256,7 @@
 	return ids
 }
 
-// stopRuns checkpoints and stops running work; the reports make it wait again.
+// stopRuns stops running runs after a checkpoint; they wait again once the reports show the stop.
 func (d *Decider) stopRuns(ctx context.Context, s state.State, ids []string) {
 	for _, id := range ids {
 		r, _ := s.Runs.Get(id)
@@ -267,8 +268,8 @@
 	}
 }
 
-// Waiting returns why runs wait, by pool and run, as of the newest plan of this
-// process.
+// Waiting returns the reasons for which runs wait, by pool and run, according to the latest plan of
+// this process.
 func (d *Decider) Waiting() map[string]map[string]Reason {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/services/jobs/declared.go
+++ b/services/jobs/declared.go
@@ -11,7 +11,7 @@
 	"github.com/yardbridge/yardbridge/models/state"
 )
 
-// submissions returns the runs of declared jobs that are due and not known.
+// submissions returns the submissions of declared jobs that are due and not yet known to the state.
 func submissions(s state.State, now time.Time) []record.Record {
 	var due []record.Record
 	for _, o := range s.Catalog.Active() {
@@ -30,7 +30,7 @@
 	return due
 }
 
-// dueRun returns the ID of the run that a declared job should have by now.
+// dueRun returns the ID of the latest run of a declared job that is due.
 func dueRun(job manifest.Job, now time.Time) (id string, due bool) {
 	if job.DailyAt == "" {
 		return state.DailyID(job.Name, ""), true
@@ -42,15 +42,15 @@
 	return state.DailyID(job.Name, at.Format(time.DateOnly)), true
 }
 
-// FinishBy returns the next time of day at which a job must be done, the zero
-// time for none.
+// FinishBy returns the next time at which a job must be finished, the zero time if it has no such
+// limit.
 func FinishBy(job manifest.Job, now time.Time) time.Time {
 	if job.FinishBy == "" {
 		return time.Time{}
 	}
 	clock, err := time.Parse("15:04", job.FinishBy)
 	if err != nil {
-		return time.Time{} // files are checked before they are accepted
+		return time.Time{} // manifests are validated before they are accepted
 	}
 	at := now.UTC()
 	by := time.Date(at.Year(), at.Month(), at.Day(), clock.Hour(), clock.Minute(), 0, 0, time.UTC)
--- a/services/jobs/follow.go
+++ b/services/jobs/follow.go
@@ -15,19 +15,19 @@
 	"github.com/yardbridge/yardbridge/services/platform"
 )
 
-// The policy for what fails.
+// Limits for failed and missing tasks.
 const (
-	maxAttempts   = 3
-	asideFailures = 3 // failures in a row after which a worker is set aside
-	asideLife     = 5 * time.Minute
-	missingLimit  = 5   // reports without a task that was running
-	absentLimit   = 300 // readings without a task that was placed; by far more than the reports lag
+	maxAttempts        = 3
+	ejectFailures      = 3 // consecutive failures after which a worker is ejected
+	ejectDuration      = 5 * time.Minute
+	missingReportLimit = 5   // reports without a running task after which its attempt is given up
+	unreportedLimit    = 300 // reports without a placed task after which its attempt is given up; far more than the reports lag
 )
 
-// taskID names one attempt of a run for the platform.
+// taskID returns the platform's ID of one attempt of a run.
 func taskID(run string, attempt int) string { return run + "#" + strconv.Itoa(attempt) }
 
-// runOf returns the run and the attempt that a task stands for.
+// runOf returns the run and the attempt that a task ID denotes.
 func runOf(task string) (run string, attempt int, ok bool) {
 	i := strings.LastIndexByte(task, '#')
 	if i < 0 {
@@ -39,16 +39,16 @@
 
 // follower compares the workers' reports with the state.
 type follower struct {
-	s        state.State
-	failures map[string]int // in a row, by worker
-	missing  map[string]int // reports without it, by task
-	records  []record.Record
-	orphans  []platform.TaskStatus // tasks that should not run
-	greedy   []platform.TaskStatus // tasks that use more than they were placed by
+	s         state.State
+	failures  map[string]int // consecutive, by worker
+	missing   map[string]int // reports that did not show the task, by task
+	records   []record.Record
+	orphans   []platform.TaskStatus // tasks that should not run
+	overusing []platform.TaskStatus // tasks that use more cores than they were placed with
 }
 
-func (f *follower) follow(seen map[string]platform.TaskStatus) {
-	for _, t := range seen {
+func (f *follower) follow(tasks map[string]platform.TaskStatus) {
+	for _, t := range tasks {
 		f.checkOrphan(t)
 	}
 	for id, r := range f.s.ActiveRuns() {
@@ -56,17 +56,17 @@
 			continue
 		}
 		task := taskID(id, r.Attempt)
-		t, there := seen[task]
-		if !there {
-			f.noteMissing(id, task, r)
+		t, reported := tasks[task]
+		if !reported {
+			f.countMissing(id, task, r)
 			continue
 		}
 		delete(f.missing, task)
-		f.report(id, r, t)
+		f.applyReport(id, r, t)
 	}
 }
 
-// checkOrphan finds tasks whose run has ended or been moved on.
+// checkOrphan collects a task that runs although its run has ended or has another attempt.
 func (f *follower) checkOrphan(t platform.TaskStatus) {
 	run, attempt, ok := runOf(t.ID)
 	if !ok || t.State != platform.TaskRunning {
@@ -78,15 +78,15 @@
 	}
 }
 
-// noteMissing gives up on a task that the reports do not show: soon on one that
-// was running, late on one that was only placed, since the report lags and its
-// starter may yet start it. A start that comes later still does no harm: the
-// run then waits for another attempt only if it may be repeated.
-func (f *follower) noteMissing(id, task string, r state.Run) {
+// countMissing gives up an attempt whose task is missing from the reports: after a few reports if
+// it was running, much later if it was only placed, since the reports lag and the starter may still
+// start it. A start that arrives even later does no harm, because the run gets another attempt only
+// if it is repeatable.
+func (f *follower) countMissing(id, task string, r state.Run) {
 	f.missing[task]++
-	limit, reason := missingLimit, "the worker no longer reports the task"
+	limit, reason := missingReportLimit, "the worker no longer reports the task"
 	if r.State == record.Placed {
-		limit, reason = absentLimit, "no worker has reported the task"
+		limit, reason = unreportedLimit, "no worker has reported the task"
 	}
 	if f.missing[task] >= limit {
 		f.progress(id, r, record.Pending, reason, 0)
@@ -99,12 +99,12 @@
 	}})
 }
 
-// report turns a task's state into the run's progress.
-func (f *follower) report(id string, r state.Run, t platform.TaskStatus) {
+// applyReport turns the reported state of a task into progress of its run.
+func (f *follower) applyReport(id string, r state.Run, t platform.TaskStatus) {
 	switch t.State {
 	case platform.TaskRunning:
 		if t.Cores > r.Cores {
-			f.greedy = append(f.greedy, t)
+			f.overusing = append(f.overusing, t)
 		}
 		if r.State == record.Placed || t.Cores > r.UsedCores {
 			f.progress(id, r, record.Running, "", t.Cores)
@@ -113,13 +113,13 @@
 		f.failures[t.Worker] = 0
 		f.progress(id, r, doneState(r), "", t.Cores)
 	case platform.TaskFailed:
-		f.fail(id, r, t)
+		f.handleFailure(id, r, t)
 	case platform.TaskStopped:
 		f.progress(id, r, record.Pending, "the task was stopped, or its lease lapsed", t.Cores)
 	}
 }
 
-// doneState makes a feed that has ended run again.
+// doneState returns the state of a run whose task has ended; a long-running job runs again.
 func doneState(r state.Run) record.RunState {
 	if r.Job.Class == manifest.LongRunning {
 		return record.Pending
@@ -127,28 +127,28 @@
 	return record.Done
 }
 
-// fail tries a run elsewhere if it may be repeated, and sets a worker aside
-// that fails one task after another.
-func (f *follower) fail(id string, r state.Run, t platform.TaskStatus) {
+// handleFailure retries the run on another worker if it is repeatable, and ejects a worker after
+// consecutive failures.
+func (f *follower) handleFailure(id string, r state.Run, t platform.TaskStatus) {
 	f.failures[t.Worker]++
-	if f.failures[t.Worker] >= asideFailures {
-		f.failures[t.Worker] = asideFailures - 1 // one more failure, and it is aside again
+	if f.failures[t.Worker] >= ejectFailures {
+		f.failures[t.Worker] = ejectFailures - 1 // one more failure ejects it again
 		f.records = append(f.records, record.Record{Eject: &record.Eject{
-			Worker: t.Worker, Until: f.s.Now.Add(asideLife),
+			Worker: t.Worker, Until: f.s.Now.Add(ejectDuration),
 		}})
 	}
-	again := r.Job.Repeatable && (r.Attempt < maxAttempts || r.Job.Class == manifest.LongRunning)
-	if again {
+	retry := r.Job.Repeatable && (r.Attempt < maxAttempts || r.Job.Class == manifest.LongRunning)
+	if retry {
 		f.progress(id, r, record.Pending, "attempt failed on "+t.Worker, t.Cores)
 		return
 	}
 	f.progress(id, r, record.Failed, "failed on "+t.Worker, t.Cores)
 }
 
-// stopAll ends tasks, after a checkpoint.
+// stopAll stops tasks after a checkpoint.
 func stopAll(ctx context.Context, port platform.Tasks, tasks []platform.TaskStatus) {
 	for _, t := range tasks {
-		// A task that could not be stopped shows up in the next report again.
+		// A task that could not be stopped appears in the next report again.
 		_ = port.Stop(ctx, t.Worker, t.ID, true)
 	}
 }
--- a/services/jobs/place.go
+++ b/services/jobs/place.go
@@ -13,10 +13,10 @@
 	"github.com/yardbridge/yardbridge/models/state"
 )
 
-// Reason says why a run waits.
+// Reason is the reason for which a run waits.
 type Reason string
 
-// The reasons for which a run waits.
+// Reasons for which a run waits.
 const (
 	NoFreeCapacity   Reason = "no worker has room now"
 	OverQuota        Reason = "the team's quota is used up"
@@ -27,14 +27,14 @@
 	Preempting       Reason = "less urgent work is being moved away"
 )
 
-// Plan is what should happen next to the runs.
+// Plan holds the records to propose and the runs to stop.
 type Plan struct {
 	Records []record.Record
-	Preempt []string                     // runs to stop after a checkpoint, to make room
+	Preempt []string                     // runs to stop after a checkpoint, to free capacity
 	Waiting map[string]map[string]Reason // by pool, then by run
 }
 
-// planner places runs on a state that it changes as it goes.
+// planner places runs on a copy of the state that it updates with each placement.
 type planner struct {
 	s           state.State
 	name        string
@@ -42,55 +42,55 @@
 	plan        Plan
 	maintenance *manifest.Maintenance // nil for none
 	pools       map[string][]state.Instance
-	cores       map[string]int    // learned sizes by job, 0 for not known
-	full        map[string][]need // by pool, sizes for which it has no room, so that alike runs cost nothing
+	cores       map[string]int         // measured cores by job, 0 if unknown
+	unplaceable map[string][]resources // by pool, sizes that do not fit, so that runs of the same size are not tried again
 }
 
-// need is the room that a run needs.
-type need struct{ cores, memoryGB, accelerators int }
+// resources are what a run needs on a worker.
+type resources struct{ cores, memoryGB, accelerators int }
 
-// covers reports whether a run that needs o can't be placed where one that
-// needs n can't.
-func (n need) covers(o need) bool {
+// covers reports whether o needs at least as much of everything as n, so that a run that needs o
+// can't be placed where one that needs n can't.
+func (n resources) covers(o resources) bool {
 	return o.cores >= n.cores && o.memoryGB >= n.memoryGB && o.accelerators >= n.accelerators
 }
 
-// fits reports whether a worker has room beside what it runs.
-func (n need) fits(i state.Instance, use state.Usage) bool {
+// fits reports whether a worker has enough free capacity beside the runs that use it.
+func (n resources) fits(i state.Instance, use state.Usage) bool {
 	return use.Fits(i, n.cores, n.memoryGB, n.accelerators)
 }
 
-// Place returns the placements that should be proposed for a state.
+// Place returns the placements to propose for a state.
 func Place(s state.State, entry string, incarnation uint64) Plan {
 	return placeIn(s, entry, incarnation, slices.Collect(s.PoolsWithWaiting()))
 }
 
-// placeIn is Place for some pools.
+// placeIn is Place restricted to some pools.
 func placeIn(s state.State, entry string, incarnation uint64, pools []string) Plan {
 	p := &planner{
 		s: s, name: entry, inc: incarnation, maintenance: s.Catalog.Maintenance(),
-		pools: make(map[string][]state.Instance), cores: make(map[string]int), full: make(map[string][]need),
+		pools: make(map[string][]state.Instance), cores: make(map[string]int), unplaceable: make(map[string][]resources),
 	}
 	p.plan.Waiting = make(map[string]map[string]Reason)
-	for _, w := range inOrder(s, pools) {
+	for _, w := range orderedRuns(s, pools) {
 		p.place(w)
 	}
 	return p.plan
 }
 
-func (p *planner) wait(w pending, why Reason) {
+func (p *planner) wait(w waitingRun, reason Reason) {
 	pool := w.run.Job.Pool
 	if p.plan.Waiting[pool] == nil {
 		p.plan.Waiting[pool] = make(map[string]Reason)
 	}
-	p.plan.Waiting[pool][w.id] = why
+	p.plan.Waiting[pool][w.id] = reason
 }
 
-// coresOf returns the size that a job is placed by: the largest that its runs
-// have used, or what it declares while that is not known.
+// coresOf returns the cores with which a job is placed: the most that its runs have used, or the
+// declared number while that is unknown.
 func (p *planner) coresOf(job manifest.Job) int {
-	used, asked := p.cores[job.Name]
-	if !asked {
+	used, known := p.cores[job.Name]
+	if !known {
 		used = p.s.MaxUsedCores(job.Name)
 		p.cores[job.Name] = used
 	}
@@ -100,19 +100,20 @@
 	return job.Cores
 }
 
-// pending is a run that waits.
-type pending struct {
+// waitingRun is a run that waits for placement.
+type waitingRun struct {
 	id  string
 	run state.Run
 }
 
-// inOrder returns the waiting runs of some pools: urgent ones first, then feeds, then batch
-// work by its deadline, by how much of its share its customer uses, and by its age.
-func inOrder(s state.State, pools []string) []pending {
-	var list []pending
+// orderedRuns returns the waiting runs of some pools in the order of placement: urgent ones first,
+// then long-running ones, then batch runs by deadline, by the used part of their customer's share,
+// and by age.
+func orderedRuns(s state.State, pools []string) []waitingRun {
+	var list []waitingRun
 	for _, pool := range pools {
 		for id, r := range s.WaitingRuns(pool) {
-			list = append(list, pending{id, r})
+			list = append(list, waitingRun{id, r})
 		}
 	}
 	used := make(map[string]float64) // by customer, over its share
@@ -120,9 +121,9 @@
 		name := w.run.Job.Customer
 		used[name] = float64(s.CustomerUsage(name).Cores) / shareOf(s.Catalog.Customer(name))
 	}
-	slices.SortStableFunc(list, func(a, b pending) int {
+	slices.SortStableFunc(list, func(a, b waitingRun) int {
 		return cmp.Or(
-			cmp.Compare(rank(a.run.Job.Class), rank(b.run.Job.Class)),
+			cmp.Compare(classRank(a.run.Job.Class), classRank(b.run.Job.Class)),
 			compareDeadline(a.run.Deadline, b.run.Deadline),
 			cmp.Compare(used[a.run.Job.Customer], used[b.run.Job.Customer]),
 			cmp.Compare(a.run.SubmittedOffset, b.run.SubmittedOffset),
@@ -132,7 +133,7 @@
 	return list
 }
 
-// shareOf returns the share of a customer, 1 for nobody's.
+// shareOf returns the share of a customer, 1 for runs without a customer.
 func shareOf(c *manifest.Customer) float64 {
 	if c == nil || c.Share <= 0 {
 		return manifest.DefaultShare
@@ -140,7 +141,7 @@
 	return c.Share
 }
 
-func rank(c manifest.Class) int {
+func classRank(c manifest.Class) int {
 	switch c {
 	case manifest.Urgent:
 		return 0
@@ -150,7 +151,7 @@
 	return 2
 }
 
-// compareDeadline puts runs without a deadline last.
+// compareDeadline orders deadlines; runs without one come last.
 func compareDeadline(a, b time.Time) int {
 	switch {
 	case a.IsZero() && b.IsZero():
@@ -163,37 +164,37 @@
 	return a.Compare(b)
 }
 
-// place tries a waiting run on the workers of its pool; one that fits nowhere
-// holds up nothing but itself.
-func (p *planner) place(w pending) {
+// place tries to place a waiting run on the workers of its pool. A run that fits nowhere delays no
+// other run.
+func (p *planner) place(w waitingRun) {
 	job := w.run.Job
 	workers := p.workers(job.Pool)
-	if reason, ok := p.refuse(job, workers); !ok {
+	if reason, ok := p.placeable(job, workers); !ok {
 		p.wait(w, reason)
 		return
 	}
-	room := need{p.coresOf(job), job.MemoryGB, job.Accelerators}
-	if job.Class != manifest.Urgent && slices.ContainsFunc(p.full[job.Pool], func(n need) bool { return n.covers(room) }) {
+	needed := resources{p.coresOf(job), job.MemoryGB, job.Accelerators}
+	if job.Class != manifest.Urgent && slices.ContainsFunc(p.unplaceable[job.Pool], func(n resources) bool { return n.covers(needed) }) {
 		p.wait(w, NoFreeCapacity)
 		return
 	}
-	if p.placeOn(p.tightest(workers, room), w, room) {
+	if p.placeOn(p.bestFit(workers, needed), w, needed) {
 		return
 	}
-	p.full[job.Pool] = append(p.full[job.Pool], room)
-	if job.Class == manifest.Urgent && p.preempt(workers, room) {
+	p.unplaceable[job.Pool] = append(p.unplaceable[job.Pool], needed)
+	if job.Class == manifest.Urgent && p.preempt(workers, needed) {
 		p.wait(w, Preempting)
 		return
 	}
 	p.wait(w, NoFreeCapacity)
 }
 
-// placeOn proposes the first of the workers that the fold would accept, and
+// placeOn proposes a placement on the first of the workers for which the fold accepts it, and
 // reports whether there was one.
-func (p *planner) placeOn(workers []state.Instance, w pending, room need) bool {
+func (p *planner) placeOn(workers []state.Instance, w waitingRun, needed resources) bool {
 	for _, i := range workers {
 		r := record.Record{Place: &record.Place{
-			ID: w.id, Attempt: w.run.Attempt + 1, Worker: i.Worker.ID, Cores: room.cores, MemoryGB: room.memoryGB,
+			ID: w.id, Attempt: w.run.Attempt + 1, Worker: i.Worker.ID, Cores: needed.cores, MemoryGB: needed.memoryGB,
 		}}
 		next, verdict := p.s.DryRun(p.name, p.inc, r)
 		if verdict == nil {
@@ -205,15 +206,16 @@
 	return false
 }
 
-// refuse returns the reason for which a job can't be placed whatever else ends.
-func (p *planner) refuse(job manifest.Job, workers []state.Instance) (Reason, bool) {
+// placeable reports whether a job could be placed if enough capacity were free, and returns the
+// reason if not.
+func (p *planner) placeable(job manifest.Job, workers []state.Instance) (Reason, bool) {
 	team := p.s.Catalog.Team(job.Team)
 	switch {
 	case team == nil:
 		return UnknownTeam, false
 	case len(workers) == 0:
 		return PoolNotInService, false
-	case !p.everFits(job, workers):
+	case !p.fitsAnyWorker(job, workers):
 		return TooLarge, false
 	case !p.s.TeamUsage(job.Team).WithinQuota(team, p.coresOf(job), job.MemoryGB, job.Accelerators):
 		return OverQuota, false
@@ -223,7 +225,7 @@
 	return "", true
 }
 
-// workers returns the instances of a pool that may take jobs.
+// workers returns the instances of a pool that accept jobs.
 func (p *planner) workers(pool string) []state.Instance {
 	if list, ok := p.pools[pool]; ok {
 		return list
@@ -235,33 +237,33 @@
 	return list
 }
 
-func (p *planner) everFits(job manifest.Job, workers []state.Instance) bool {
+func (p *planner) fitsAnyWorker(job manifest.Job, workers []state.Instance) bool {
 	return slices.ContainsFunc(workers, func(i state.Instance) bool {
 		return state.Usage{}.Fits(i, 1, job.MemoryGB, job.Accelerators) && job.Cores <= i.Worker.Cores
 	})
 }
 
-// tightest orders the workers that have room by how little is left, those that
-// are due for maintenance last: a job there may have to move.
-func (p *planner) tightest(workers []state.Instance, n need) []state.Instance {
-	type room struct {
-		i    state.Instance
-		due  int
-		left int
+// bestFit returns the workers with enough free capacity, those with the fewest free cores first.
+// Workers that are due for maintenance come last, since a job on one of them may have to move.
+func (p *planner) bestFit(workers []state.Instance, n resources) []state.Instance {
+	type candidate struct {
+		i         state.Instance
+		due       int
+		freeCores int
 	}
-	var rooms []room
+	var candidates []candidate
 	for _, i := range workers {
 		use := p.s.WorkerUsage(i.Worker.ID)
 		if i.EjectedUntil.After(p.s.Now) || !n.fits(i, use) {
 			continue
 		}
-		rooms = append(rooms, room{i, p.due(i), i.Worker.Cores - use.Cores})
+		candidates = append(candidates, candidate{i, p.due(i), i.Worker.Cores - use.Cores})
 	}
-	slices.SortStableFunc(rooms, func(a, b room) int {
-		return cmp.Or(cmp.Compare(a.due, b.due), cmp.Compare(a.left, b.left))
+	slices.SortStableFunc(candidates, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(a.due, b.due), cmp.Compare(a.freeCores, b.freeCores))
 	})
-	list := make([]state.Instance, len(rooms))
-	for n, r := range rooms {
+	list := make([]state.Instance, len(candidates))
+	for n, r := range candidates {
 		list[n] = r.i
 	}
 	return list
--- a/services/jobs/placer.go
+++ b/services/jobs/placer.go
@@ -11,39 +11,37 @@
 	"github.com/yardbridge/yardbridge/models/state"
 )
 
-// preemptPatience is how long a pool in which room is being made is left alone;
-// then the work that is in the way is told to stop again.
-const preemptPatience = time.Second
+// preemptRetryDelay is how long a pool is skipped after runs were told to stop to free capacity in
+// it; then those that still run are told to stop again.
+const preemptRetryDelay = time.Second
 
-// Placer makes plans one after another, and looks again only at the pools in
-// which something has changed that a placement rests on. Its zero value has
-// seen none; one goroutine uses it.
+// Placer makes successive plans and examines only the pools in which something has changed that
+// placements depend on. Its zero value has examined none. It is not safe for concurrent use.
 type Placer struct {
 	version uint64 // of the configuration
-	seen    map[string]seenPool
+	checks  map[string]poolCheck
 }
 
-// seenPool is what a look at a pool came to.
-type seenPool struct {
-	at      uint64 // offset of the state that was looked at
+// poolCheck is the result of the last placement attempt in a pool.
+type poolCheck struct {
+	offset  uint64 // offset of the state that was examined
 	waiting map[string]Reason
-	teams   map[string]bool // whose quota keeps runs waiting
+	teams   map[string]bool // teams whose quota keeps runs waiting
 
-	customers map[string]bool // whose limits do
-	again     time.Time       // when to look again in any case, zero for never
+	customers map[string]bool // customers whose limits keep runs waiting
+	recheckAt time.Time       // when to examine the pool again in any case, zero for never
 }
 
-// Place returns the placements for a state, and remembers the pools in which
-// there is nothing to do until something changes. A pool with proposals is
-// looked at again, since they may come to nothing.
+// Place returns the placements for a state. It skips pools in which nothing can be placed until
+// something changes. A pool with proposals is examined again, since they may be rejected.
 func (p *Placer) Place(s state.State, entry string, incarnation uint64) Plan {
-	if p.seen == nil || p.version != s.Catalog.Version {
-		p.seen = make(map[string]seenPool)
+	if p.checks == nil || p.version != s.Catalog.Version {
+		p.checks = make(map[string]poolCheck)
 		p.version = s.Catalog.Version
 	}
 	pools := slices.Collect(s.PoolsWithWaiting())
-	maps.DeleteFunc(p.seen, func(pool string, _ seenPool) bool {
-		_, waits := slices.BinarySearch(pools, pool) // they come by name
+	maps.DeleteFunc(p.checks, func(pool string, _ poolCheck) bool {
+		_, waits := slices.BinarySearch(pools, pool) // they are sorted by name
 		return !waits
 	})
 	changed := slices.DeleteFunc(pools, func(pool string) bool { return !p.changed(s, pool) })
@@ -52,71 +50,72 @@
 	}
 	plan := placeIn(s, entry, incarnation, changed)
 	for _, pool := range changed {
-		p.seen[pool] = look(s, pool, plan.Waiting[pool])
+		p.checks[pool] = checkPool(s, pool, plan.Waiting[pool])
 	}
 	for _, r := range plan.Records {
 		run, _ := s.Runs.Get(r.Place.ID)
-		seen := p.seen[run.Job.Pool]
-		seen.at = 0
-		p.seen[run.Job.Pool] = seen
+		check := p.checks[run.Job.Pool]
+		check.offset = 0
+		p.checks[run.Job.Pool] = check
 	}
 	return plan
 }
 
-// changed reports whether a pool must be looked at.
+// changed reports whether a pool must be examined again.
 func (p *Placer) changed(s state.State, pool string) bool {
-	seen, ok := p.seen[pool]
-	if !ok || s.PoolChangedAt(pool) > seen.at || !seen.again.IsZero() && !s.Now.Before(seen.again) {
+	check, ok := p.checks[pool]
+	if !ok || s.PoolChangedAt(pool) > check.offset || !check.recheckAt.IsZero() && !s.Now.Before(check.recheckAt) {
 		return true
 	}
-	for team := range seen.teams {
-		if s.TeamChangedAt(team) > seen.at {
+	for team := range check.teams {
+		if s.TeamChangedAt(team) > check.offset {
 			return true
 		}
 	}
-	for customer := range seen.customers {
-		if s.CustomerChangedAt(customer) > seen.at {
+	for customer := range check.customers {
+		if s.CustomerChangedAt(customer) > check.offset {
 			return true
 		}
 	}
 	return false
 }
 
-// look notes why the runs of a pool wait, and what could end that.
-func look(s state.State, pool string, waiting map[string]Reason) seenPool {
-	seen := seenPool{at: s.Offset, waiting: waiting, teams: make(map[string]bool), customers: make(map[string]bool)}
-	for id, why := range waiting {
-		switch why {
+// checkPool records the reasons for which the runs of a pool wait, and the changes that could end
+// the wait.
+func checkPool(s state.State, pool string, waiting map[string]Reason) poolCheck {
+	check := poolCheck{offset: s.Offset, waiting: waiting, teams: make(map[string]bool), customers: make(map[string]bool)}
+	for id, reason := range waiting {
+		switch reason {
 		case OverQuota:
 			r, _ := s.Runs.Get(id)
-			seen.teams[r.Job.Team] = true
+			check.teams[r.Job.Team] = true
 		case OverLimit:
 			r, _ := s.Runs.Get(id)
-			seen.customers[r.Job.Customer] = true
+			check.customers[r.Job.Customer] = true
 		case Preempting:
-			seen.lookAgain(s.Now.Add(preemptPatience))
+			check.recheckBy(s.Now.Add(preemptRetryDelay))
 		}
 	}
 	for _, i := range s.PoolInstances(pool) {
 		if i.EjectedUntil.After(s.Now) {
-			seen.lookAgain(i.EjectedUntil)
+			check.recheckBy(i.EjectedUntil)
 		}
 	}
-	return seen
+	return check
 }
 
-// lookAgain sets the time of the next look, if it is the earliest.
-func (p *seenPool) lookAgain(at time.Time) {
-	if p.again.IsZero() || at.Before(p.again) {
-		p.again = at
+// recheckBy sets the time of the next check unless an earlier one is set.
+func (p *poolCheck) recheckBy(at time.Time) {
+	if p.recheckAt.IsZero() || at.Before(p.recheckAt) {
+		p.recheckAt = at
 	}
 }
 
-// waiting returns why runs wait, by pool and run.
+// waiting returns the reasons for which runs wait, by pool and run.
 func (p *Placer) waiting() map[string]map[string]Reason {
-	all := make(map[string]map[string]Reason, len(p.seen))
-	for pool, seen := range p.seen {
-		all[pool] = seen.waiting
+	all := make(map[string]map[string]Reason, len(p.checks))
+	for pool, check := range p.checks {
+		all[pool] = check.waiting
 	}
 	return all
 }
--- a/services/jobs/placer_test.go
+++ b/services/jobs/placer_test.go
@@ -30,10 +30,9 @@
 	os.Exit(m.Run())
 }
 
-// newCrowdedYard returns a yard with three pools and two teams with tight
-// quotas.
-func newCrowdedYard() *yard {
-	y := newYard(6, "a")
+// newCrowdedCluster returns a cluster with three pools and two teams with small quotas.
+func newCrowdedCluster() *cluster {
+	y := newCluster(6, "a")
 	y.put("a", record.Record{Apply: &record.Apply{Deployment: "e", Base: y.State().Catalog.Version, Put: []manifest.Object{
 		{Team: &manifest.Team{Name: "small", QuotaCores: 12, QuotaMemoryGB: 100}},
 		{Pool: &manifest.Pool{Name: "q", Team: "t", Size: 2}},
@@ -45,16 +44,16 @@
 	return y
 }
 
-// move puts a worker into a pool, idle or not.
-func (y *yard) move(worker, pool string) {
+// move moves a worker to a pool, whether it is idle or not.
+func (y *cluster) move(worker, pool string) {
 	i, _ := y.State().Instances.Get(worker)
 	y.put("a", record.Record{Drain: &record.Drain{Worker: worker, Version: i.Version, Purpose: record.ForMove, To: pool}})
 	i, _ = y.State().Instances.Get(worker)
 	y.put("a", record.Record{Drained: &record.Drained{Worker: worker, Epoch: i.Epoch}})
 }
 
-// disturb makes one random change of what placements rest on.
-func (y *yard) disturb(t *rapid.T, n int) {
+// changeRandomly makes one random change of the state that placements depend on.
+func (y *cluster) changeRandomly(t *rapid.T, n int) {
 	worker := fmt.Sprintf("w%d", rapid.IntRange(0, 5).Draw(t, "worker"))
 	pool := rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "pool")
 	switch rapid.IntRange(0, 7).Draw(t, "change") {
@@ -88,20 +87,20 @@
 	}
 }
 
-// TestLookingOnlyAtWhatChanged: the placer proposes what a look at everything
-// would propose, whatever changes and whether its proposals come to anything.
-func TestLookingOnlyAtWhatChanged(t *testing.T) {
+// TestIncrementalPlacementMatchesFullPlacement checks that Placer proposes the same as a placement
+// of all pools, whatever changes and whether its proposals are accepted or not.
+func TestIncrementalPlacementMatchesFullPlacement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		y := newCrowdedYard()
+		y := newCrowdedCluster()
 		var p Placer
 		for n := range 40 {
-			y.disturb(t, n)
+			y.changeRandomly(t, n)
 			s := y.State()
 			want := Place(s, "a", 1)
 			got := p.Place(s, "a", 1)
 			assert.DeepEqual(t, got.Records, want.Records)
 			for pool := range s.PoolsWithWaiting() {
-				// A remembered reason may be one of several that hold now.
+				// A recorded reason may be one of several that apply now.
 				assert.DeepEqual(t, slices.Sorted(maps.Keys(p.waiting()[pool])), slices.Sorted(maps.Keys(want.Waiting[pool])))
 			}
 			if len(got.Records) > 0 && rapid.Bool().Draw(t, "taken") {
@@ -111,9 +110,10 @@
 	})
 }
 
-// TestQuietPoolIsNotLookedAt: what the placer saves is the point of it.
-func TestQuietPoolIsNotLookedAt(t *testing.T) {
-	y := newCrowdedYard()
+// TestUnchangedPoolIsSkipped checks that a pool without relevant changes is not examined again,
+// which is the purpose of Placer.
+func TestUnchangedPoolIsSkipped(t *testing.T) {
+	y := newCrowdedCluster()
 	y.put("a", record.Record{Submit: &record.Submit{ID: "j@", Job: manifest.Job{Name: "j", Team: "t", Pool: "q", Cores: 99}}})
 	var p Placer
 	p.Place(y.State(), "a", 1)
--- a/services/jobs/preempt.go
+++ b/services/jobs/preempt.go
@@ -11,15 +11,15 @@
 	"github.com/yardbridge/yardbridge/models/state"
 )
 
-// preempt picks the fewest batch runs of one worker that may be repeated and
-// whose end makes room, and reports whether there are such.
-func (p *planner) preempt(workers []state.Instance, n need) bool {
+// preempt selects the fewest repeatable batch runs of one worker whose stop frees enough capacity,
+// and reports whether there are such runs.
+func (p *planner) preempt(workers []state.Instance, n resources) bool {
 	var best []string
 	for _, i := range workers {
 		if i.EjectedUntil.After(p.s.Now) {
 			continue
 		}
-		if ids := p.victims(i, n); ids != nil && (best == nil || len(ids) < len(best)) {
+		if ids := p.preemptible(i, n); ids != nil && (best == nil || len(ids) < len(best)) {
 			best = ids
 		}
 	}
@@ -27,7 +27,7 @@
 	return best != nil
 }
 
-func (p *planner) victims(i state.Instance, n need) []string {
+func (p *planner) preemptible(i state.Instance, n resources) []string {
 	use := p.s.WorkerUsage(i.Worker.ID)
 	var ids []string
 	for id, r := range p.s.RunsOn(i.Worker.ID) {
@@ -38,7 +38,7 @@
 			continue
 		}
 		if slices.Contains(p.plan.Preempt, id) {
-			return nil // it makes room for another one already
+			return nil // it is already stopped for another run
 		}
 		ids = append(ids, id)
 		use.Cores -= r.Cores
--- a/services/jobs/reports.go
+++ b/services/jobs/reports.go
@@ -10,34 +10,34 @@
 	"github.com/yardbridge/yardbridge/services/platform"
 )
 
-// wholePeriod is how often all reports are read, so that a task which vanished
-// without a word is missed; in between only what changed is.
-const wholePeriod = 5 * time.Minute
+// fullReportPeriod is how often all reports are read, so that a task which disappeared without a
+// final report is noticed; between full reads only changes are read.
+const fullReportPeriod = 5 * time.Minute
 
-// reports is what the workers have reported; its zero value has read nothing.
+// reports holds the latest reports of the workers; its zero value holds none.
 type reports struct {
-	tasks    map[string]platform.TaskStatus // by task
-	revision uint64
-	wholeAt  time.Time
+	tasks      map[string]platform.TaskStatus // by task
+	revision   uint64
+	fullReadAt time.Time
 }
 
-// read takes over what is new.
+// read reads the reports that changed, or all of them when a full read is due.
 func (r *reports) read(ctx context.Context, port platform.Tasks, now time.Time) error {
 	known := r.revision
-	if now.Sub(r.wholeAt) >= wholePeriod {
+	if now.Sub(r.fullReadAt) >= fullReportPeriod {
 		known = 0
 	}
-	news, err := port.Reports(ctx, known)
+	update, err := port.Reports(ctx, known)
 	if err != nil {
 		return err
 	}
-	if news.Complete {
-		r.tasks = make(map[string]platform.TaskStatus, len(news.Tasks))
-		r.wholeAt = now
+	if update.Complete {
+		r.tasks = make(map[string]platform.TaskStatus, len(update.Tasks))
+		r.fullReadAt = now
 	}
-	for _, t := range news.Tasks {
+	for _, t := range update.Tasks {
 		r.tasks[t.ID] = t
 	}
-	r.revision = news.Revision
+	r.revision = update.Revision
 	return nil
 }
--- a/services/jobs/desk.go
+++ b/services/jobs/service.go
@@ -15,7 +15,7 @@
 	"github.com/yardbridge/yardbridge/modules/oncekey"
 )
 
-// Service takes the wishes of teams.
+// Service handles the submissions, queries and cancellations of teams.
 type Service struct {
 	Clock   clock.Clock
 	State   func() state.State
@@ -23,14 +23,14 @@
 	Waiting func() map[string]map[string]Reason
 }
 
-// Submission asks for one run of a declared job. The key makes a repeat of the
-// submission harmless.
+// Submission requests one run of a declared job. The key makes a repeated submission return the
+// existing run.
 type Submission struct {
 	Job string `json:"job"`
 	Key string `json:"key"`
 }
 
-// Status is what a team sees of a run.
+// Status describes a run to a team.
 type Status struct {
 	ID        string          `json:"id"`
 	Job       string          `json:"job"`
@@ -51,13 +51,13 @@
 	if !r.Deadline.IsZero() {
 		s.Deadline = &r.Deadline
 	}
-	if why, ok := d.Waiting()[r.Job.Pool][id]; ok && r.State == record.Pending {
-		s.Reason = string(why)
+	if reason, ok := d.Waiting()[r.Job.Pool][id]; ok && r.State == record.Pending {
+		s.Reason = string(reason)
 	}
 	return s
 }
 
-// List returns the runs of a team, or all for an empty team.
+// List returns the runs of a team, or all runs for an empty team.
 func (d *Service) List(team string) []Status {
 	list := []Status{}
 	for id, r := range d.State().Runs.All() {
@@ -68,7 +68,7 @@
 	return list
 }
 
-// Get returns one run.
+// Get returns the status of one run.
 func (d *Service) Get(team, id string) (Status, error) {
 	r, ok := d.State().Runs.Get(id)
 	if !ok || team != "" && r.Job.Team != team {
@@ -77,8 +77,7 @@
 	return d.status(id, r), nil
 }
 
-// Submit puts a run on the log. Submitting again with the same key is answered
-// with the run that is there.
+// Submit appends a run to the log. A submission with a known key returns the run that has it.
 func (d *Service) Submit(ctx context.Context, team string, q Submission) (Status, error) {
 	s := d.State()
 	if err := oncekey.Check(q.Key, s.Now); err != nil {
@@ -103,15 +102,15 @@
 	return d.Get(team, q.Key)
 }
 
-// CancelResult tells what became of a cancellation.
+// CancelResult lists the cancelled runs.
 type CancelResult struct {
 	IDs []string `json:"ids"`
 }
 
-// cancelChunk is how many runs one record cancels.
+// cancelChunk is the largest number of runs that one record cancels.
 const cancelChunk = 500
 
-// Cancel ends runs; those of other teams are refused as a whole.
+// Cancel cancels runs. If one of them is unknown or belongs to another team, none is cancelled.
 func (d *Service) Cancel(ctx context.Context, team string, ids []string) (CancelResult, error) {
 	s := d.State()
 	for _, id := range ids {
