--- a/services/slots/account.go
+++ b/services/slots/account.go
@@ -9,7 +9,7 @@
 	"github.com/yardbridge/yardbridge/models/state"
 )
 
-// account is the book of one owned target.
+// account counts the slots of one owned target by holder.
 type account struct {
 	epoch uint64
 	pool  string
@@ -17,7 +17,7 @@
 	lent  map[holderKey]int
 }
 
-func (a *account) out() int {
+func (a *account) lentTotal() int {
 	n := 0
 	for _, c := range a.lent {
 		n += c
@@ -25,21 +25,21 @@
 	return n
 }
 
-// noteLosses starts the quarantine of processes that ended without leaving.
-func (l *Lender) noteLosses() {
+// recordLosses starts the quarantine of processes that ended without leaving.
+func (l *Lender) recordLosses() {
 	now := l.Clock.Now()
 	for name, e := range l.state.Entries.All() {
 		if e.LostAt.IsZero() {
 			continue
 		}
-		k := lostKey{name, e.LostAt.UnixNano()}
-		if _, seen := l.lostSeen[k]; !seen {
-			l.lostSeen[k] = now
+		k := lossKey{name, e.LostAt.UnixNano()}
+		if _, seen := l.lossSeenAt[k]; !seen {
+			l.lossSeenAt[k] = now
 		}
 	}
 }
 
-type lostKey struct {
+type lossKey struct {
 	entry string
 	at    int64
 }
@@ -51,37 +51,37 @@
 	return l.Quarantine
 }
 
-// quarantined reports whether a process of the entry was lost so lately that
-// a target may still work for it.
+// quarantined reports whether a process of the entry was lost so recently that a target may still
+// work on its requests.
 func (l *Lender) quarantined(name string, e state.Entry) bool {
 	if e.LostAt.IsZero() {
 		return false
 	}
-	seen, ok := l.lostSeen[lostKey{name, e.LostAt.UnixNano()}]
+	seen, ok := l.lossSeenAt[lossKey{name, e.LostAt.UnixNano()}]
 	return !ok || l.Clock.Now().Sub(seen) < l.quarantine()
 }
 
-// accounted reports whether every process that may hold slots of the target
-// from an earlier owner has told so, or can't hold any more. It also drops
-// the slots of lost processes once their quarantine is over.
-func (l *Lender) accounted(i state.Instance, a *account) bool {
+// allHoldersReported reports whether every process that may hold slots of the target from an
+// earlier owner has reported them or can no longer hold any. It also frees the slots of lost
+// processes when their quarantine ends.
+func (l *Lender) allHoldersReported(i state.Instance, a *account) bool {
 	all := true
 	for name, e := range l.state.Entries.All() {
 		if l.quarantined(name, e) {
-			// What was lent here is known and stays booked; what an earlier
-			// owner lent is not.
-			all = all && (i.FirstOwner || l.toldBeforeLoss(name, i))
+			// Slots that this owner lent are known and stay counted; those that an earlier owner
+			// lent are not known.
+			all = all && (i.FirstOwner || l.reportedBeforeLoss(name, i))
 			continue
 		}
-		l.dropLost(name, e, a)
-		all = all && l.told(name, e, i)
+		l.freeLost(name, e, a)
+		all = all && l.reported(name, e, i)
 	}
 	return all
 }
 
-// toldBeforeLoss reports whether a process that is lost had told what it held
-// since the ownership began, so that its slots are booked here.
-func (l *Lender) toldBeforeLoss(name string, i state.Instance) bool {
+// reportedBeforeLoss reports whether a lost process had reported its slots since the ownership
+// began, so that they are counted here.
+func (l *Lender) reportedBeforeLoss(name string, i state.Instance) bool {
 	for k, h := range l.holders {
 		if k.entry == name && !l.current(k) && h.offset >= i.Epoch {
 			return true
@@ -90,9 +90,9 @@
 	return false
 }
 
-// told reports whether a present process has told what it holds since the
-// ownership began; the first owner's holders hold nothing from others.
-func (l *Lender) told(name string, e state.Entry, i state.Instance) bool {
+// reported reports whether a present process has reported its slots since the ownership began. A
+// first owner needs no reports, since nobody lent the slots before it.
+func (l *Lender) reported(name string, e state.Entry, i state.Instance) bool {
 	if !e.Present || i.FirstOwner || e.JoinedAt >= i.Epoch {
 		return true
 	}
@@ -100,8 +100,8 @@
 	return ok && h.offset >= i.Epoch
 }
 
-// dropLost frees the slots of an entry's processes that are not present.
-func (l *Lender) dropLost(name string, e state.Entry, a *account) {
+// freeLost frees the slots of an entry's processes that are not present.
+func (l *Lender) freeLost(name string, e state.Entry, a *account) {
 	for k := range a.lent {
 		if k.entry == name && (!e.Present || k.incarnation != e.Incarnation) {
 			delete(a.lent, k)
--- a/services/slots/acquire_test.go
+++ b/services/slots/acquire_test.go
@@ -18,7 +18,7 @@
 	testDeadline = 2 * time.Second
 )
 
-// busyHolder returns a holder all of whose slots of the pool are in use.
+// busyHolder returns a holder with all slots of the pool in use.
 func busyHolder() (*network, *Holder) {
 	n := newNetwork(1)
 	d := n.nodes["e0"]
@@ -28,8 +28,8 @@
 	return n, d.holder
 }
 
-// ask makes a request wait, as Acquire does.
-func ask(n *network, h *Holder, class manifest.Class) (*waiter, error) {
+// enqueueRequest enqueues a request, as Acquire does.
+func enqueueRequest(n *network, h *Holder, class manifest.Class) (*waiter, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.enqueue(h.pool("p"), AcquireRequest{
@@ -46,45 +46,45 @@
 	}
 }
 
-// TestBurstThatTurnsOutToBeOverload: a burst may wait up to its deadline, but
-// once the queue has stood for two answers' time it is overload, and what would
-// make every later answer late is given up on at once, the oldest first.
-func TestBurstThatTurnsOutToBeOverload(t *testing.T) {
+// TestBurstBecomesOverload checks that a burst may wait up to its deadline, but that after two
+// typical response times with a non-empty queue it counts as overload: requests that would delay
+// every later response are dropped at once, the oldest first.
+func TestBurstBecomesOverload(t *testing.T) {
 	n, h := busyHolder()
 	var burst []*waiter
-	batch, err := ask(n, h, manifest.Batch)
+	batch, err := enqueueRequest(n, h, manifest.Batch)
 	assert.NilError(t, err)
 	for range 40 {
-		w, err := ask(n, h, manifest.Interactive)
-		assert.NilError(t, err, "a burst waits")
+		w, err := enqueueRequest(n, h, manifest.Interactive)
+		assert.NilError(t, err, "a burst is queued")
 		burst = append(burst, w)
 	}
 	n.clock.Advance(2*testTypical - time.Millisecond)
-	_, err = ask(n, h, manifest.Interactive)
+	_, err = enqueueRequest(n, h, manifest.Interactive)
 	assert.NilError(t, err)
-	assert.Assert(t, !isShed(burst[0]), "it may yet be a burst")
+	assert.Assert(t, !isShed(burst[0]), "it may still be a burst")
 	n.clock.Advance(time.Millisecond)
-	newest, err := ask(n, h, manifest.Interactive)
+	newest, err := enqueueRequest(n, h, manifest.Interactive)
 	assert.NilError(t, err)
-	assert.Assert(t, isShed(batch), "batch requests give way first")
+	assert.Assert(t, isShed(batch), "batch requests are dropped first")
 	assert.Assert(t, isShed(burst[0]))
-	assert.Assert(t, burst[0].comeBack > 0, "it is told when to come back")
+	assert.Assert(t, burst[0].retryAfter > 0, "it gets a time after which to retry")
 	assert.Assert(t, !isShed(burst[len(burst)-1]))
 	assert.Assert(t, !isShed(newest))
 	p := h.pool("p")
-	assert.Assert(t, h.expectedWait(p, manifest.Batch) <= p.standingBound()+testTypical/testSlots)
-	_, err = ask(n, h, manifest.Batch)
-	assert.Assert(t, errkind.Is(err, errkind.Overloaded), "batch requests push nobody out: %v", err)
+	assert.Assert(t, h.expectedWait(p, manifest.Batch) <= p.overloadWaitBound()+testTypical/testSlots)
+	_, err = enqueueRequest(n, h, manifest.Batch)
+	assert.Assert(t, errkind.Is(err, errkind.Overloaded), "batch requests displace no other request: %v", err)
 	assert.Assert(t, !isShed(newest))
 }
 
-// TestQueueThatEmptiesIsNoOverload: as soon as nobody waits, the next burst may
-// wait again.
-func TestQueueThatEmptiesIsNoOverload(t *testing.T) {
+// TestEmptiedQueueIsNotOverload checks that after the queue has been empty the next burst may wait
+// again.
+func TestEmptiedQueueIsNotOverload(t *testing.T) {
 	n, h := busyHolder()
 	for range 3 {
 		for range testSlots {
-			_, err := ask(n, h, manifest.Interactive)
+			_, err := enqueueRequest(n, h, manifest.Interactive)
 			assert.NilError(t, err)
 		}
 		n.clock.Advance(5 * testTypical)
--- a/services/slots/balance.go
+++ b/services/slots/balance.go
@@ -9,37 +9,36 @@
 	"github.com/yardbridge/yardbridge/models/state"
 )
 
-// Balance returns a handoff of slots that this entry owns to the entry that
-// owns the fewest of a pool, and false where the pools are even.
+// Balance returns a handoff of a target's slots from this entry to the entry that owns the fewest
+// targets of a pool, and false if ownership is balanced.
 func Balance(s state.State, name string) (record.Handoff, bool) {
 	for _, p := range s.Catalog.Pools() {
-		poorest := ""
+		fewest := ""
 		for _, n := range s.MemberNames() {
-			if poorest == "" || s.OwnedCount(n, p.Name) < s.OwnedCount(poorest, p.Name) {
-				poorest = n
+			if fewest == "" || s.OwnedCount(n, p.Name) < s.OwnedCount(fewest, p.Name) {
+				fewest = n
 			}
 		}
-		if poorest == "" || s.OwnedCount(name, p.Name) < s.OwnedCount(poorest, p.Name)+2 {
+		if fewest == "" || s.OwnedCount(name, p.Name) < s.OwnedCount(fewest, p.Name)+2 {
 			continue
 		}
-		if h, ok := handoff(s, p, name, poorest); ok {
+		if h, ok := handoff(s, p, name, fewest); ok {
 			return h, true
 		}
 	}
 	return record.Handoff{}, false
 }
 
-// handoff picks an instance to hand over, one in the new owner's hall if there
-// is one.
+// handoff picks an instance to hand over, preferably one in the new owner's data centre.
 func handoff(s state.State, p *manifest.Pool, from, to string) (h record.Handoff, ok bool) {
 	e, _ := s.Entries.Get(to)
 	for _, i := range s.PoolInstances(p.Name) {
 		if i.Owner != from || i.Phase != state.InService {
 			continue
 		}
-		if near := i.Worker.DataCenter == e.DataCenter; !ok || near {
+		if sameDataCenter := i.Worker.DataCenter == e.DataCenter; !ok || sameDataCenter {
 			h, ok = record.Handoff{Worker: i.Worker.ID, Epoch: i.Epoch, To: to}, true
-			if near {
+			if sameDataCenter {
 				break
 			}
 		}
--- a/services/slots/holder.go
+++ b/services/slots/holder.go
@@ -11,61 +11,60 @@
 	"github.com/yardbridge/yardbridge/modules/clock"
 )
 
-// Holder holds the slots that this entry has borrowed, and queues the requests
-// that wait for one.
+// Holder holds the slots that this entry has borrowed and queues the requests that wait for one.
 type Holder struct {
 	Clock      clock.Clock
 	Name       string // of this entry
 	DataCenter string // of this entry
-	// RequestExchange asks the exchange with an owner to run soon; it must not block.
+	// RequestExchange schedules an exchange with an owner; it must not block.
 	RequestExchange func(owner string)
-	// MayUse reports whether a target is fit for new requests, beside what the
-	// state says; nil for always.
+	// MayUse reports whether new requests may be sent to a target, in addition to what the state
+	// allows; nil allows all.
 	MayUse func(worker string) bool
-	// Cost orders targets, the smallest first; nil for all alike.
+	// Cost orders targets, the smallest first; if nil, they are ordered by the requests in flight.
 	Cost func(worker string, inUse int) float64
 
 	mu      sync.Mutex
 	state   state.State
-	targets map[string]*holding // by worker, all that are held or could be
-	pools   map[string]*poolHoldings
-	leaving map[string]*notice // by worker, learned before the log says so
+	targets map[string]*targetState // by worker; all targets of which slots are held or can be borrowed
+	pools   map[string]*poolState
+	leaving map[string]*notice // by worker, learned before the log reports it
 
-	silent map[string]bool // owners that have not answered for a while, asked last
+	unresponsive map[string]bool // owners without a response for a while; others are asked first
 
-	mustHear map[string]uint64 // newest ownership that an owner took over from another
-	told     map[string]uint64 // ownership up to which an owner was told what is held
+	takeovers    map[string]uint64 // by owner, the newest ownership that it took over from another entry
+	reportedUpTo map[string]uint64 // by owner, the ownership up to which the held slots were reported to it
 }
 
-// holding is what this entry holds of one target.
-type holding struct {
-	worker  string
-	address string
-	hall    string
-	pool    string
-	owner   string
-	epoch   uint64
-	held    int
-	inUse   int
-	serving bool
-	dirty   bool // the owner has not been told the newest count
+// targetState is what this entry holds of one target.
+type targetState struct {
+	worker     string
+	address    string
+	dataCenter string
+	pool       string
+	owner      string
+	epoch      uint64
+	held       int
+	inUse      int
+	serving    bool
+	dirty      bool // the newest count has not been reported to the owner
 }
 
-func (h *holding) idle() int { return h.held - h.inUse }
-
-// poolHoldings is what this entry holds and wants of one pool.
-type poolHoldings struct {
-	name    string
-	targets []*holding
-	queue   queue
-	owed    map[string]int  // slots in use that owners have recalled, by owner
-	askedAt map[string]bool // owners that refused and have not poked since
-	emptyAt time.Time       // last time at which nobody waited
-	typical time.Duration   // usual time in a slot, as the newest request told
-	limit   time.Duration   // time that the newest request has in all
+func (h *targetState) idle() int { return h.held - h.inUse }
+
+// poolState is the targets of one pool and the requests that wait for it.
+type poolState struct {
+	name        string
+	targets     []*targetState
+	queue       queue
+	recalled    map[string]int  // slots in use that owners have recalled, by owner
+	refusedBy   map[string]bool // owners that refused a request and have sent no notification since
+	emptyAt     time.Time       // last time at which the queue was empty
+	typical     time.Duration   // typical time in a slot, from the newest request
+	requestTime time.Duration   // total time of the newest request
 }
 
-// Update takes a newer state: the targets of each pool and their owners.
+// Update applies a newer state: the targets of each pool and their owners.
 func (h *Holder) Update(s state.State) {
 	h.mu.Lock()
 	h.init()
@@ -85,11 +84,11 @@
 	for _, p := range h.pools {
 		p.targets = p.targets[:0]
 	}
-	clear(h.mustHear)
+	clear(h.takeovers)
 	for _, i := range s.Instances.All() {
 		h.updateTarget(i)
 		if !i.FirstOwner {
-			h.mustHear[i.Owner] = max(h.mustHear[i.Owner], i.Epoch)
+			h.takeovers[i.Owner] = max(h.takeovers[i.Owner], i.Epoch)
 		}
 	}
 	for worker, t := range h.targets {
@@ -97,40 +96,40 @@
 			delete(h.targets, worker)
 		}
 	}
-	kicks := h.returnIdle()
-	for owner := range h.mustHear {
-		if h.mustTell(owner) {
-			kicks = append(kicks, owner)
+	owners := h.returnIdle()
+	for owner := range h.takeovers {
+		if h.mustReport(owner) {
+			owners = append(owners, owner)
 		}
 	}
 	for _, p := range h.pools {
-		kicks = append(kicks, h.wantMore(p)...)
+		owners = append(owners, h.ownersToRequest(p)...)
 	}
 	h.mu.Unlock()
-	h.kickAll(kicks)
+	h.requestExchanges(owners)
 }
 
 func (h *Holder) init() {
 	if h.targets == nil {
-		h.targets = make(map[string]*holding)
-		h.pools = make(map[string]*poolHoldings)
+		h.targets = make(map[string]*targetState)
+		h.pools = make(map[string]*poolState)
 		h.leaving = make(map[string]*notice)
-		h.silent = make(map[string]bool)
-		h.mustHear = make(map[string]uint64)
-		h.told = make(map[string]uint64)
+		h.unresponsive = make(map[string]bool)
+		h.takeovers = make(map[string]uint64)
+		h.reportedUpTo = make(map[string]uint64)
 	}
 }
 
-// mustTell reports whether an owner can't lend before it has heard from this
-// entry what it holds, be it nothing; h.mu is held.
-func (h *Holder) mustTell(owner string) bool {
-	return owner != "" && h.mustHear[owner] > h.told[owner]
+// mustReport reports whether an owner can't lend slots until this entry has reported what it holds,
+// even if that is nothing; h.mu is held.
+func (h *Holder) mustReport(owner string) bool {
+	return owner != "" && h.takeovers[owner] > h.reportedUpTo[owner]
 }
 
-func (h *Holder) pool(name string) *poolHoldings {
+func (h *Holder) pool(name string) *poolState {
 	p, ok := h.pools[name]
 	if !ok {
-		p = &poolHoldings{name: name, owed: make(map[string]int), askedAt: make(map[string]bool)}
+		p = &poolState{name: name, recalled: make(map[string]int), refusedBy: make(map[string]bool)}
 		h.pools[name] = p
 	}
 	return p
@@ -142,31 +141,31 @@
 		if i.Owner == "" {
 			return
 		}
-		t = &holding{worker: i.Worker.ID}
+		t = &targetState{worker: i.Worker.ID}
 		h.targets[i.Worker.ID] = t
 	}
 	if i.Epoch != t.epoch {
 		t.dirty = t.held > 0
 	}
-	t.address, t.hall, t.pool = i.Worker.Address, i.Worker.DataCenter, i.Pool
+	t.address, t.dataCenter, t.pool = i.Worker.Address, i.Worker.DataCenter, i.Pool
 	t.owner, t.epoch = i.Owner, i.Epoch
-	h.checkNotice(i.Worker)
+	h.expireNotice(i.Worker)
 	t.serving = i.Serving() && h.leaving[t.worker] == nil
 	if i.Serving() {
-		// Early news that it leaves may yet prove wrong.
+		// The notice that the target leaves may still turn out to be wrong.
 		p := h.pool(i.Pool)
 		p.targets = append(p.targets, t)
 	}
 }
 
-func (h *Holder) kickAll(owners []string) {
+func (h *Holder) requestExchanges(owners []string) {
 	for _, o := range owners {
 		h.RequestExchange(o)
 	}
 }
 
-// held returns how many slots of a pool this entry holds; h.mu is held.
-func (h *Holder) held(p *poolHoldings) int {
+// held returns the number of slots of a pool that this entry holds; h.mu is held.
+func (h *Holder) held(p *poolState) int {
 	n := 0
 	for _, t := range p.targets {
 		n += t.held
@@ -184,7 +183,7 @@
 	Serving bool   `json:"serving"`
 }
 
-// Dump returns what is held of each target, and how many requests wait.
+// Dump returns the slots held of each target and the number of waiting requests by pool.
 func (h *Holder) Dump() (targets []Target, waiting map[string]int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/services/slots/lend.go
+++ b/services/slots/lend.go
@@ -8,16 +8,16 @@
 	"slices"
 )
 
-// free returns how many slots of an owned target can be lent now.
+// free returns the number of slots of an owned target that can be lent now.
 func (l *Lender) free(worker string, a *account) int {
 	i, ok := l.state.Instances.Get(worker)
-	if !ok || !i.Serving() || !l.accounted(i, a) {
+	if !ok || !i.Serving() || !l.allHoldersReported(i, a) {
 		return 0
 	}
-	return max(a.slots-a.out(), 0)
+	return max(a.slots-a.lentTotal(), 0)
 }
 
-// lend takes free slots of a pool's targets, from the emptiest target first.
+// lend lends free slots of a pool's targets, each from the target with the most free ones.
 func (l *Lender) lend(k holderKey, w SlotRequest) []Holding {
 	free := make(map[string]int)
 	for worker, a := range l.owned {
@@ -27,30 +27,30 @@
 	}
 	grants := make(map[string]int)
 	for range w.Count {
-		worker := emptiest(free, w.Avoid)
+		worker := mostFree(free, w.Avoid)
 		if worker == "" {
 			break
 		}
 		free[worker]--
 		grants[worker]++
 	}
-	given := 0
+	lent := 0
 	var list []Holding
 	for _, worker := range slices.Sorted(maps.Keys(grants)) {
 		a := l.owned[worker]
 		a.lent[k] += grants[worker]
-		given += grants[worker]
+		lent += grants[worker]
 		list = append(list, Holding{Worker: worker, Epoch: a.epoch, Count: grants[worker]})
 	}
-	if given < w.Count {
-		l.refused(k, w, given)
+	if lent < w.Count {
+		l.recordRefusal(k, w, lent)
 	}
 	return list
 }
 
-// emptiest returns the target with the most free slots, the avoided one only
-// where it is the last, and empty for none.
-func emptiest(free map[string]int, avoid string) string {
+// mostFree returns the target with the most free slots. The avoided one is returned only if no
+// other has any; empty if none has.
+func mostFree(free map[string]int, avoid string) string {
 	best := ""
 	for worker, n := range free {
 		if n <= 0 {
@@ -63,21 +63,21 @@
 	return best
 }
 
-// refused remembers the want, and recalls slots from the entry that holds the
-// most of the pool.
-func (l *Lender) refused(k holderKey, w SlotRequest, given int) {
-	l.wanting[wantKey{k.entry, w.Pool}] = true
-	fair := l.holders[k].haves[w.Pool] + given
-	richest, most := l.richest(k, w.Pool)
-	if richest == "" {
+// recordRefusal records a request that was not met in full, and recalls slots from the entry that
+// holds the most of the pool.
+func (l *Lender) recordRefusal(k holderKey, w SlotRequest, lent int) {
+	l.refusedRequests[requestKey{k.entry, w.Pool}] = true
+	leastHeld := l.holders[k].inPool[w.Pool] + lent
+	largest, most := l.largestHolder(k, w.Pool)
+	if largest == "" {
 		return
 	}
-	l.Notify(richest, Notification{Owner: l.Name, Pool: w.Pool, Recall: max((most-fair)/2, 1), LeastHeld: fair})
+	l.Notify(largest, Notification{Owner: l.Name, Pool: w.Pool, Recall: max((most-leastHeld)/2, 1), LeastHeld: leastHeld})
 }
 
-// richest returns the entry with slots of this owner that holds the most of
-// the pool from all owners.
-func (l *Lender) richest(except holderKey, pool string) (entry string, most int) {
+// largestHolder returns the entry that holds the most slots of the pool from all owners, among
+// those that hold slots of this owner.
+func (l *Lender) largestHolder(except holderKey, pool string) (entry string, most int) {
 	for _, a := range l.owned {
 		if a.pool != pool {
 			continue
@@ -87,7 +87,7 @@
 			if k == except || !ok || !l.current(k) {
 				continue
 			}
-			if n := h.haves[pool]; entry == "" || n > most || n == most && k.entry < entry {
+			if n := h.inPool[pool]; entry == "" || n > most || n == most && k.entry < entry {
 				entry, most = k.entry, n
 			}
 		}
@@ -95,28 +95,28 @@
 	return entry, most
 }
 
-// pokeWanting tells the entries that were refused that slots are free.
-func (l *Lender) pokeWanting() {
-	if len(l.wanting) == 0 {
+// notifyRefused notifies the entries whose requests were refused that slots are free.
+func (l *Lender) notifyRefused() {
+	if len(l.refusedRequests) == 0 {
 		return
 	}
 	free := make(map[string]int)
 	for worker, a := range l.owned {
 		free[a.pool] += l.free(worker, a)
 	}
-	for w := range l.wanting {
+	for w := range l.refusedRequests {
 		if free[w.pool] > 0 {
 			free[w.pool]--
-			delete(l.wanting, w)
+			delete(l.refusedRequests, w)
 			l.Notify(w.entry, Notification{Owner: l.Name, Pool: w.pool})
 		}
 	}
 }
 
-// NotifyWaiting pokes entries whose wants can be met since a quarantine has ended.
+// NotifyWaiting notifies entries whose requests can be met since a quarantine has ended.
 func (l *Lender) NotifyWaiting() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.init()
-	l.pokeWanting()
+	l.notifyRefused()
 }
--- a/services/slots/lender.go
+++ b/services/slots/lender.go
@@ -13,29 +13,28 @@
 	"github.com/yardbridge/yardbridge/modules/clock"
 )
 
-// DefaultQuarantine is how long the slots of a lost process stay unused after
-// the platform confirmed its end, since a target may still work on its
-// requests.
+// DefaultQuarantine is how long the slots of a lost process stay unused after the platform
+// confirmed its end, since a target may still work on its requests.
 const DefaultQuarantine = 5 * time.Second
 
 // Lender lends the slots of the targets that this entry owns.
 type Lender struct {
 	Clock      clock.Clock
 	Name       string        // of this entry
-	Quarantine time.Duration // 0 takes the default
-	// Notify tells another entry, or this one, to come back; it must not block.
+	Quarantine time.Duration // 0 for DefaultQuarantine
+	// Notify sends a notification to another entry or to this one; it must not block.
 	Notify func(entry string, p Notification)
 
-	mu       sync.Mutex
-	state    state.State
-	owned    map[string]*account // by worker
-	holders  map[holderKey]*holderInfo
-	lostSeen map[lostKey]time.Time // local time at which a loss was first seen
-	wanting  map[wantKey]bool
-	draining map[string]bool // owned targets that are being drained
+	mu              sync.Mutex
+	state           state.State
+	owned           map[string]*account // by worker
+	holders         map[holderKey]*holderInfo
+	lossSeenAt      map[lossKey]time.Time // local time at which a loss was first seen
+	refusedRequests map[requestKey]bool
+	draining        map[string]bool // owned targets that are being drained
 }
 
-// holderKey names one process that may hold slots.
+// holderKey identifies one process that may hold slots.
 type holderKey struct {
 	entry       string
 	incarnation uint64
@@ -44,16 +43,16 @@
 // holderInfo is what is known of a holder.
 type holderInfo struct {
 	session uint64
-	offset  uint64 // ownership that its newest exchange was based on
-	haves   map[string]int
+	offset  uint64 // newest change of ownership that its latest exchange was based on
+	inPool  map[string]int
 }
 
-type wantKey struct {
+type requestKey struct {
 	entry string
 	pool  string
 }
 
-// Update takes a newer state: which targets are owned, and who is lost.
+// Update applies a newer state: which targets are owned and which processes are lost.
 func (l *Lender) Update(s state.State) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,10 +83,10 @@
 		}
 		a.pool, a.slots = i.Pool, i.Worker.Slots
 	}
-	l.noteLosses()
+	l.recordLosses()
 	for k := range l.holders {
 		if !s.Entries.Has(k.entry) {
-			delete(l.holders, k) // so long gone that the log has forgotten it
+			delete(l.holders, k) // gone for so long that the state no longer has it
 		}
 	}
 }
@@ -96,19 +95,19 @@
 	if l.owned == nil {
 		l.owned = make(map[string]*account)
 		l.holders = make(map[holderKey]*holderInfo)
-		l.lostSeen = make(map[lostKey]time.Time)
-		l.wanting = make(map[wantKey]bool)
+		l.lossSeenAt = make(map[lossKey]time.Time)
+		l.refusedRequests = make(map[requestKey]bool)
 		l.draining = make(map[string]bool)
 	}
 }
 
-// current reports whether a holder is the entry's present process.
+// current reports whether a holder is the present process of its entry.
 func (l *Lender) current(k holderKey) bool {
 	e, ok := l.state.Entries.Get(k.entry)
 	return ok && e.Present && e.Incarnation == k.incarnation
 }
 
-// Exchange books what a holder holds and lends it what it wants.
+// Exchange records the slots that a holder reports and lends it the slots that it requests.
 func (l *Lender) Exchange(x Exchange) ExchangeResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,7 +115,7 @@
 	k := holderKey{x.Entry, x.Incarnation}
 	h, ok := l.holders[k]
 	if !ok {
-		h = &holderInfo{haves: make(map[string]int)}
+		h = &holderInfo{inPool: make(map[string]int)}
 		l.holders[k] = h
 	}
 	if x.Session < h.session || x.Session > h.session && !x.Full || !l.current(k) {
@@ -127,20 +126,20 @@
 	}
 	h.session = x.Session
 	h.offset = x.Offset
-	l.book(k, x)
-	for _, have := range x.PoolHoldings {
-		h.haves[have.Pool] = have.Count
+	l.applyHeld(k, x)
+	for _, p := range x.PoolHoldings {
+		h.inPool[p.Pool] = p.Count
 	}
 	var g ExchangeResponse
 	for _, w := range x.Requests {
 		g.Grants = append(g.Grants, l.lend(k, w)...)
 	}
-	l.pokeWanting()
+	l.notifyRefused()
 	return g
 }
 
-// book sets what the holder holds to what it says.
-func (l *Lender) book(k holderKey, x Exchange) {
+// applyHeld replaces the recorded counts of the holder by the reported ones.
+func (l *Lender) applyHeld(k holderKey, x Exchange) {
 	if x.Full {
 		for _, a := range l.owned {
 			delete(a.lent, k)
@@ -159,13 +158,13 @@
 	}
 }
 
-// IdleTarget is an owned target that is draining and has no request in flight.
+// IdleTarget is an owned target that is being drained and has no request in flight.
 type IdleTarget struct {
 	Worker string
 	Epoch  uint64
 }
 
-// Idle returns the draining targets all of whose slots are back.
+// Idle returns the draining targets all of whose slots have been returned.
 func (l *Lender) Idle() []IdleTarget {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -173,7 +172,7 @@
 	for worker := range l.draining {
 		a := l.owned[worker]
 		i, ok := l.state.Instances.Get(worker)
-		if !ok || i.Phase != state.Draining || !l.accounted(i, a) || a.out() > 0 {
+		if !ok || i.Phase != state.Draining || !l.allHoldersReported(i, a) || a.lentTotal() > 0 {
 			continue
 		}
 		idle = append(idle, IdleTarget{Worker: worker, Epoch: a.epoch})
@@ -191,7 +190,7 @@
 	Free   int            `json:"free"`
 }
 
-// Dump returns the book of every owned target, by worker.
+// Dump returns the account of every owned target, ordered by worker.
 func (l *Lender) Dump() []Account {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/services/slots/link.go
+++ b/services/slots/link.go
@@ -11,16 +11,16 @@
 	"github.com/yardbridge/yardbridge/modules/log"
 )
 
-// Call sends an exchange to an owner and returns its answer.
+// Call sends an exchange to an owner and returns its response.
 type Call func(ctx context.Context, owner string, x Exchange) (ExchangeResponse, error)
 
-// Times of the exchange.
+// Times of an exchange.
 const (
 	callTimeout = 2 * time.Second
 	retryPause  = 50 * time.Millisecond
-	// askPatience is how long an owner may take to answer before others are
-	// asked: an exchange takes some milliseconds, also between halls.
-	askPatience = 100 * time.Millisecond
+	// unresponsiveAfter is how long an owner may take to respond before other owners are asked. An
+	// exchange takes some milliseconds, also between data centres.
+	unresponsiveAfter = 100 * time.Millisecond
 )
 
 // Exchanger runs the exchanges with all owners, one at a time with each.
@@ -35,24 +35,24 @@
 	links map[string]*link
 }
 
-// link is the exchange with one owner.
+// link runs the exchanges with one owner.
 type link struct {
-	links   *Exchanger
-	owner   string
-	kick    chan struct{}
-	session uint64
-	broken  bool // an answer was missed; the next exchange is a full one
-	called  bool // an exchange was sent, so that the owner may have lent
+	exchanger *Exchanger
+	owner     string
+	wake      chan struct{}
+	session   uint64
+	needsFull bool // a response was lost, so that the next exchange must be a full one
+	sent      bool // an exchange was sent, so that the owner may have lent slots
 }
 
-// Run asks owners again from time to time until the context ends; exchanges
-// are run only while it does.
+// Run periodically asks owners again that refused, until the context ends. Exchanges run only
+// during that time.
 func (l *Exchanger) Run(ctx context.Context) {
 	l.mu.Lock()
 	l.ctx = ctx
 	l.mu.Unlock()
 	for ctx.Err() == nil {
-		for _, o := range l.Holder.askAgain() {
+		for _, o := range l.Holder.retryRefused() {
 			l.RequestExchange(o)
 		}
 		select {
@@ -62,7 +62,7 @@
 	}
 }
 
-// RequestExchange makes the exchange with an owner run soon.
+// RequestExchange schedules an exchange with an owner.
 func (l *Exchanger) RequestExchange(owner string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,21 +74,21 @@
 		if l.links == nil {
 			l.links = make(map[string]*link)
 		}
-		k = &link{links: l, owner: owner, kick: make(chan struct{}, 1), session: 1, broken: true}
+		k = &link{exchanger: l, owner: owner, wake: make(chan struct{}, 1), session: 1, needsFull: true}
 		l.links[owner] = k
 		go k.run(l.ctx)
 	}
 	select {
-	case k.kick <- struct{}{}:
+	case k.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run exchanges with the owner whenever it is kicked.
+// run performs an exchange with the owner whenever one is requested.
 func (k *link) run(ctx context.Context) {
 	for {
 		select {
-		case <-k.kick:
+		case <-k.wake:
 		case <-ctx.Done():
 			return
 		}
@@ -100,55 +100,54 @@
 	}
 }
 
-// exchange runs one exchange and reports whether another one is due at once.
+// exchange performs one exchange and reports whether another one is due at once.
 func (k *link) exchange(ctx context.Context) (again bool) {
-	h := k.links.Holder
-	x, due := h.compose(k.owner, k.broken)
-	if !due && !(k.broken && k.called) {
+	h := k.exchanger.Holder
+	x, due := h.compose(k.owner, k.needsFull)
+	if !due && !(k.needsFull && k.sent) {
 		return false
 	}
-	if k.broken {
+	if k.needsFull {
 		k.session++
 	}
-	k.called = true
-	x.Incarnation = k.links.Incarnation
+	k.sent = true
+	x.Incarnation = k.exchanger.Incarnation
 	x.Session = k.session
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
-	slow := time.AfterFunc(askPatience, func() { h.kickAll(h.noteSilent(k.owner)) })
-	g, err := k.links.Call(bounded, k.owner, x)
+	slow := time.AfterFunc(unresponsiveAfter, func() { h.requestExchanges(h.markUnresponsive(k.owner)) })
+	g, err := k.exchanger.Call(bounded, k.owner, x)
 	slow.Stop()
 	cancel()
 	if err != nil || g.Stale || g.Behind {
-		k.broken = true
-		h.kickAll(h.noteSilent(k.owner))
-		k.links.Logger.Debug().Err(err).Str("owner", k.owner).Bool("behind", g.Behind).Msg("slots not exchanged")
+		k.needsFull = true
+		h.requestExchanges(h.markUnresponsive(k.owner))
+		k.exchanger.Logger.Debug().Err(err).Str("owner", k.owner).Bool("behind", g.Behind).Msg("slots not exchanged")
 		select {
 		case <-h.Clock.After(retryPause):
 		case <-ctx.Done():
 		}
-		// The owner's book may be wrong until it has a full exchange.
+		// The owner's counts may be wrong until it has received a full exchange.
 		return h.present(k.owner)
 	}
-	dropped, kicks := h.accept(k.owner, x, g)
-	k.broken = dropped
-	h.kickAll(kicks)
+	dropped, owners := h.accept(k.owner, x, g)
+	k.needsFull = dropped
+	h.requestExchanges(owners)
 	return dropped
 }
 
-// noteSilent has the requests that wait ask other owners before one that does
-// not answer or can't lend yet, and returns whom.
-func (h *Holder) noteSilent(owner string) (kicks []string) {
+// markUnresponsive makes waiting requests go to other owners before one that does not respond or
+// can't lend yet, and returns those owners.
+func (h *Holder) markUnresponsive(owner string) (owners []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.silent[owner] = true
+	h.unresponsive[owner] = true
 	for _, p := range h.pools {
-		kicks = append(kicks, h.wantMore(p)...)
+		owners = append(owners, h.ownersToRequest(p)...)
 	}
-	return kicks
+	return owners
 }
 
-// compose writes the next exchange with an owner; due is false where there is
-// nothing to say.
+// compose returns the next exchange with an owner; due is false if there is nothing to send.
 func (h *Holder) compose(owner string, full bool) (x Exchange, due bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -169,18 +168,18 @@
 	for name := range pools {
 		p := h.pool(name)
 		x.PoolHoldings = append(x.PoolHoldings, PoolHolding{Pool: name, Count: h.held(p)})
-		if n := p.queue.all(); n > 0 && !p.askedAt[owner] {
-			x.Requests = append(x.Requests, SlotRequest{Pool: name, Count: min(n, maxWant), Avoid: p.queue.avoided()})
+		if n := p.queue.all(); n > 0 && !p.refusedBy[owner] {
+			x.Requests = append(x.Requests, SlotRequest{Pool: name, Count: min(n, maxSlotsPerRequest), Avoid: p.queue.avoided()})
 			due = true
 		}
 	}
-	return x, due || h.mustTell(owner)
+	return x, due || h.mustReport(owner)
 }
 
-// maxWant is how many slots one exchange asks for.
-const maxWant = 4
+// maxSlotsPerRequest is the largest number of slots of a pool that one exchange requests.
+const maxSlotsPerRequest = 4
 
-// present reports whether an owner is part of the roster.
+// present reports whether an owner is a member.
 func (h *Holder) present(owner string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -188,15 +187,15 @@
 	return ok && e.Present
 }
 
-// accept takes the slots that were granted. A grant under another ownership
-// than the one known here is dropped, and the owner must be told.
-func (h *Holder) accept(owner string, x Exchange, g ExchangeResponse) (dropped bool, kicks []string) {
+// accept takes over the granted slots. A grant under an ownership other than the one known here is
+// dropped and must be reported to the owner.
+func (h *Holder) accept(owner string, x Exchange, g ExchangeResponse) (dropped bool, owners []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.told[owner] = x.Offset
-	delete(h.silent, owner)
-	given := make(map[string]int)
-	other := make(map[string]bool) // by pool, a slot of a target that is not avoided
+	h.reportedUpTo[owner] = x.Offset
+	delete(h.unresponsive, owner)
+	granted := make(map[string]int)
+	gotOther := make(map[string]bool) // by pool, whether a slot of a target that is not avoided was granted
 	avoid := make(map[string]string)
 	for _, w := range x.Requests {
 		avoid[w.Pool] = w.Avoid
@@ -208,16 +207,16 @@
 			continue
 		}
 		t.held += n.Count
-		given[t.pool] += n.Count
-		other[t.pool] = other[t.pool] || t.worker != avoid[t.pool]
+		granted[t.pool] += n.Count
+		gotOther[t.pool] = gotOther[t.pool] || t.worker != avoid[t.pool]
 	}
 	for _, w := range x.Requests {
 		p := h.pool(w.Pool)
-		if given[w.Pool] < w.Count || w.Avoid != "" && !other[w.Pool] {
-			p.askedAt[owner] = true
+		if granted[w.Pool] < w.Count || w.Avoid != "" && !gotOther[w.Pool] {
+			p.refusedBy[owner] = true
 		}
 		h.serveQueue(p)
-		kicks = append(kicks, h.wantMore(p)...)
+		owners = append(owners, h.ownersToRequest(p)...)
 	}
-	return dropped, append(kicks, h.returnIdle()...)
+	return dropped, append(owners, h.returnIdle()...)
 }
--- a/services/slots/network_test.go
+++ b/services/slots/network_test.go
@@ -39,32 +39,32 @@
 
 // node is one entry in memory.
 type node struct {
-	name   string
-	state  state.State
-	lender *Lender
-	holder *Holder
-	links  map[string]*link
-	used   []*Slot   // requests in flight
-	waits  []*waiter // requests that wait
-	dead   bool
-	left   bool
+	name    string
+	state   state.State
+	lender  *Lender
+	holder  *Holder
+	links   map[string]*link
+	used    []*Slot   // requests in flight
+	waiting []*waiter // waiting requests
+	dead    bool
+	left    bool
 }
 
-// network is some entries, a log, and what is on its way between them.
+// network is several entries, a log, and the messages in transit between them.
 type network struct {
-	clock  *clock.Fake
-	nodes  map[string]*node
-	names  []string
-	log    []record.Stored
-	newest state.State
-	seq    map[string]uint64
-	late   []lateExchange
-	fault  string                 // of the next exchange
-	ghosts map[string][]time.Time // ends of what targets still do for lost entries, by worker
+	clock      *clock.Fake
+	nodes      map[string]*node
+	names      []string
+	log        []record.Stored
+	newest     state.State
+	seq        map[string]uint64
+	delayed    []delayedExchange
+	fault      string                 // fault of the next exchange
+	unfinished map[string][]time.Time // end times of the work that targets still do for lost entries, by worker
 }
 
-// lateExchange is a message that was delayed on its way.
-type lateExchange struct {
+// delayedExchange is a message that was delayed in transit.
+type delayedExchange struct {
 	to string
 	x  Exchange
 }
@@ -72,7 +72,7 @@
 func newNetwork(entries int) *network {
 	n := &network{
 		clock: clock.NewFake(time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC)),
-		nodes: make(map[string]*node), seq: make(map[string]uint64), ghosts: make(map[string][]time.Time),
+		nodes: make(map[string]*node), seq: make(map[string]uint64), unfinished: make(map[string][]time.Time),
 	}
 	for i := range entries {
 		n.add(fmt.Sprintf("e%d", i))
@@ -119,7 +119,7 @@
 	n.newest = n.newest.Fold(stored).State
 }
 
-// catchUp lets a node fold some of what it has not seen.
+// catchUp lets a node fold some of the records that it has not seen.
 func (n *network) catchUp(d *node, records int) {
 	for range records {
 		if int(d.state.Offset) >= len(n.log) {
@@ -133,29 +133,29 @@
 
 var errLost = errors.New("lost")
 
-// call carries an exchange, with the fault that was drawn for it.
+// call delivers an exchange with the fault that was drawn for it.
 func (n *network) call(_ context.Context, owner string, x Exchange) (ExchangeResponse, error) {
 	o := n.nodes[owner]
 	switch {
 	case o == nil || o.dead || o.left || n.fault == "request lost":
 		return ExchangeResponse{}, errLost
 	case n.fault == "delayed":
-		n.late = append(n.late, lateExchange{owner, x})
+		n.delayed = append(n.delayed, delayedExchange{owner, x})
 		return ExchangeResponse{}, errLost
 	}
 	g := o.lender.Exchange(x)
 	switch n.fault {
-	case "answer lost":
+	case "response lost":
 		return ExchangeResponse{}, errLost
 	case "overtaken":
-		n.overtake(n.nodes[x.Entry], o)
+		n.handOffDuringExchange(n.nodes[x.Entry], o)
 	}
 	return g, nil
 }
 
-// overtake has the slots change hands, and the caller tell the new owner what
-// it holds, while an answer of the old owner is on its way to it.
-func (n *network) overtake(caller, old *node) {
+// handOffDuringExchange hands the slots to a new owner, and has the caller report to it what it
+// holds, while a response of the old owner to the caller is in transit.
+func (n *network) handOffDuringExchange(caller, old *node) {
 	for id, i := range n.newest.Instances.All() {
 		if i.Owner != old.name {
 			continue
@@ -179,14 +179,14 @@
 	k, ok := d.links[owner]
 	if !ok {
 		links := &Exchanger{Holder: d.holder, Incarnation: 1, Call: n.call, Logger: log.Nop()}
-		k = &link{links: links, owner: owner, session: 1, broken: true}
+		k = &link{exchanger: links, owner: owner, session: 1, needsFull: true}
 		d.links[owner] = k
 	}
 	k.exchange(context.Background())
 }
 
-// want makes a request wait for a slot, or gives it one.
-func (d *node) want() {
+// requestSlot takes a slot for a request or enqueues it.
+func (d *node) requestSlot() {
 	d.holder.mu.Lock()
 	defer d.holder.mu.Unlock()
 	d.holder.init()
@@ -197,13 +197,13 @@
 	}
 	w := &waiter{class: manifest.Interactive, deadline: d.holder.Clock.Now().Add(time.Hour), grant: make(chan *Slot, 1), shed: make(chan struct{})}
 	p.queue.add(w)
-	d.waits = append(d.waits, w)
+	d.waiting = append(d.waiting, w)
 }
 
 // collect takes the slots that were granted to waiting requests.
 func (d *node) collect() {
 	var still []*waiter
-	for _, w := range d.waits {
+	for _, w := range d.waiting {
 		select {
 		case s := <-w.grant:
 			d.used = append(d.used, s)
@@ -211,11 +211,11 @@
 			still = append(still, w)
 		}
 	}
-	d.waits = still
+	d.waiting = still
 }
 
-// atTarget counts what a target really works on.
-func (n *network) atTarget(worker string) int {
+// inFlight counts the requests that a target really works on.
+func (n *network) inFlight(worker string) int {
 	count := 0
 	for _, d := range n.nodes {
 		for _, s := range d.used {
@@ -224,7 +224,7 @@
 			}
 		}
 	}
-	for _, end := range n.ghosts[worker] {
+	for _, end := range n.unfinished[worker] {
 		if n.clock.Now().Before(end) {
 			count++
 		}
@@ -232,15 +232,15 @@
 	return count
 }
 
-// kill ends a node's process; the targets work on for almost the quarantine.
+// kill ends a node's process; the targets continue their work for almost the quarantine.
 func (n *network) kill(d *node) {
 	d.dead = true
 	for _, s := range d.used {
-		n.ghosts[s.worker] = append(n.ghosts[s.worker], n.clock.Now().Add(DefaultQuarantine-time.Millisecond))
+		n.unfinished[s.worker] = append(n.unfinished[s.worker], n.clock.Now().Add(DefaultQuarantine-time.Millisecond))
 	}
 	d.used = nil
-	d.waits = nil
-	// The platform notices, and another entry puts it on the log.
+	d.waiting = nil
+	// The platform notices, and another entry records it on the log.
 	for _, o := range n.nodes {
 		if !o.dead && !o.left {
 			n.put(o.name, record.Record{Gone: &record.Gone{Entry: d.name, Incarnation: 1}})
@@ -252,8 +252,8 @@
 func (n *network) check(t *rapid.T) {
 	for i := range testWorkers {
 		worker := fmt.Sprintf("w%d", i)
-		if count := n.atTarget(worker); count > testSlots {
-			t.Fatalf("%s works on %d requests at once, it has %d slots", worker, count, testSlots)
+		if count := n.inFlight(worker); count > testSlots {
+			t.Fatalf("%s works on %d requests at once, but has %d slots", worker, count, testSlots)
 		}
 	}
 	for _, d := range n.nodes {
@@ -262,14 +262,14 @@
 		}
 		for _, idle := range d.lender.Idle() {
 			i, _ := n.newest.Instances.Get(idle.Worker)
-			if i.Owner == d.name && i.Epoch == idle.Epoch && n.atTarget(idle.Worker) > 0 {
-				t.Fatalf("%s takes %s for idle while it works on %d requests", d.name, idle.Worker, n.atTarget(idle.Worker))
+			if i.Owner == d.name && i.Epoch == idle.Epoch && n.inFlight(idle.Worker) > 0 {
+				t.Fatalf("%s reports %s as idle while it works on %d requests", d.name, idle.Worker, n.inFlight(idle.Worker))
 			}
 		}
 	}
 }
 
-// step draws one event. A node for which none is drawn is as good as frozen.
+// step performs one random event. A node for which no event is drawn behaves like a suspended one.
 func (n *network) step(t *rapid.T) {
 	d := n.nodes[rapid.SampledFrom(n.names).Draw(t, "node")]
 	if d.dead || d.left {
@@ -278,19 +278,19 @@
 	worker := fmt.Sprintf("w%d", rapid.IntRange(0, testWorkers-1).Draw(t, "worker"))
 	i, _ := n.newest.Instances.Get(worker)
 	switch event := rapid.IntRange(0, 22).Draw(t, "event"); {
-	case event > 19: // a handoff, on which a node acts at once, or hears late
+	case event > 19: // a handoff that a node learns at once or late
 		n.put(i.Owner, record.Record{Handoff: &record.Handoff{Worker: worker, Epoch: i.Epoch, To: d.name}})
-		to := n.nodes[rapid.SampledFrom(n.names).Draw(t, "first to hear")]
+		to := n.nodes[rapid.SampledFrom(n.names).Draw(t, "first to learn")]
 		if !to.dead && !to.left {
 			n.catchUp(to, len(n.log))
 			n.fault = ""
 			n.exchange(to, d.name)
 		}
 	case event < 4:
-		d.want()
+		d.requestSlot()
 	case event < 8:
 		owner := rapid.SampledFrom(n.names).Draw(t, "owner")
-		n.fault = rapid.SampledFrom([]string{"", "", "", "", "answer lost", "request lost", "delayed", "overtaken"}).Draw(t, "fault")
+		n.fault = rapid.SampledFrom([]string{"", "", "", "", "response lost", "request lost", "delayed", "overtaken"}).Draw(t, "fault")
 		n.exchange(d, owner)
 	case event < 11:
 		if len(d.used) > 0 {
@@ -304,9 +304,9 @@
 	case event == 15:
 		n.put(i.Owner, record.Record{Handoff: &record.Handoff{Worker: worker, Epoch: i.Epoch, To: d.name}})
 	case event == 16:
-		if len(n.late) > 0 {
-			l := n.late[0]
-			n.late = n.late[1:]
+		if len(n.delayed) > 0 {
+			l := n.delayed[0]
+			n.delayed = n.delayed[1:]
 			if to := n.nodes[l.to]; !to.dead && !to.left {
 				to.lender.Exchange(l.x)
 			}
@@ -316,15 +316,16 @@
 	case event == 18:
 		n.put(d.name, record.Record{Drain: &record.Drain{Worker: worker, Version: i.Version, Purpose: record.ForMaintenance}})
 	default:
-		n.end(t, d)
+		n.endEntry(t, d)
 	}
 	for _, o := range n.nodes {
 		o.collect()
 	}
 }
 
-// end ends an entry: killed, or stopped after its requests; another joins.
-func (n *network) end(t *rapid.T, d *node) {
+// endEntry kills an entry, or stops it if it has no requests in flight; with fewer than three alive
+// it adds one instead.
+func (n *network) endEntry(t *rapid.T, d *node) {
 	if len(n.names) > 6 {
 		return
 	}
@@ -348,7 +349,7 @@
 	}
 }
 
-func TestNeverMoreThanTheSlotsAndNoFalseIdle(t *testing.T) {
+func TestSlotLimitAndIdleTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(3)
 		for _, d := range n.nodes {
@@ -361,27 +362,27 @@
 	})
 }
 
-// TestSlotsComeBack lets a network that had every fault settle, and checks
-// that all slots can be used again.
-func TestSlotsComeBack(t *testing.T) {
+// TestAllSlotsAreReturned lets a network that had every fault settle, and checks that all slots can
+// be used again.
+func TestAllSlotsAreReturned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(3)
 		for range rapid.IntRange(50, 200).Draw(t, "steps") {
 			n.step(t)
 		}
 		n.fault = ""
-		n.late = nil
+		n.delayed = nil
 		for _, d := range n.nodes {
 			for _, s := range d.used {
 				s.Release()
 			}
 			d.used = nil
-			for _, w := range d.waits {
+			for _, w := range d.waiting {
 				d.holder.mu.Lock()
 				d.holder.pool("p").queue.remove(w)
 				d.holder.mu.Unlock()
 			}
-			d.waits = nil
+			d.waiting = nil
 		}
 		n.settle()
 		free := 0
@@ -411,7 +412,7 @@
 	})
 }
 
-// settle lets every node see everything and talk to every other one.
+// settle lets every node fold the complete log and exchange with every other node.
 func (n *network) settle() {
 	for range 4 {
 		n.clock.Advance(DefaultQuarantine)
@@ -428,23 +429,24 @@
 	}
 }
 
-// TestGrantWhoseAnswerWasLostComesBack: nobody waits any more and nothing is
-// held, so only the missed answer itself can make the holder speak up.
-func TestGrantWhoseAnswerWasLostComesBack(t *testing.T) {
+// TestGrantWithLostResponseIsReturned checks that a grant whose response was lost is returned even
+// if no request waits and no slot is held, so that only the lost response can cause the next
+// exchange.
+func TestGrantWithLostResponseIsReturned(t *testing.T) {
 	n := newNetwork(2)
 	for _, d := range n.nodes {
 		n.catchUp(d, len(n.log))
 	}
 	borrower := n.nodes["e1"]
-	borrower.want()
-	n.fault = "answer lost"
+	borrower.requestSlot()
+	n.fault = "response lost"
 	n.exchange(borrower, "e0")
 	n.fault = ""
-	borrower.holder.pool("p").queue.remove(borrower.waits[0])
+	borrower.holder.pool("p").queue.remove(borrower.waiting[0])
 	n.exchange(borrower, "e0")
 	for _, a := range n.nodes["e0"].lender.Dump() {
 		if a.Lent["e1"] != 0 {
-			t.Fatalf("%d slots of %s stay lent to an entry that never got them", a.Lent["e1"], a.Worker)
+			t.Fatalf("%d slots of %s stay lent to an entry that never received them", a.Lent["e1"], a.Worker)
 		}
 	}
 }
--- a/services/slots/notice.go
+++ b/services/slots/notice.go
@@ -9,19 +9,20 @@
 	"github.com/yardbridge/yardbridge/models/fleet"
 )
 
-// notice is the early news that a target leaves.
+// notice is early information that a target leaves.
 type notice struct {
-	boot      int // of the worker when the news came
+	boot      int // of the worker when the notice was received
 	at        time.Time
-	confirmed bool // the log has said so since
+	confirmed bool // the log has confirmed it since
 }
 
-// noticeLife is how long news counts that the log does not confirm; a target
-// may have taken back what it said of itself.
-const noticeLife = time.Minute
+// noticeTTL is how long a notice is valid that the log does not confirm; the target may have
+// withdrawn it.
+const noticeTTL = time.Minute
 
-// checkNotice drops the news once the worker has come back; h.mu is held.
-func (h *Holder) checkNotice(w fleet.Worker) {
+// expireNotice drops the notice of a worker once it is back in service or the notice has expired;
+// h.mu is held.
+func (h *Holder) expireNotice(w fleet.Worker) {
 	n := h.leaving[w.ID]
 	if n == nil {
 		return
@@ -30,40 +31,41 @@
 		n.confirmed = true
 		return
 	}
-	if n.confirmed || w.BootCount > n.boot || h.Clock.Now().Sub(n.at) > noticeLife {
+	if n.confirmed || w.BootCount > n.boot || h.Clock.Now().Sub(n.at) > noticeTTL {
 		delete(h.leaving, w.ID)
 	}
 }
 
-// dropOldNotices lets targets be used again of which the log has not confirmed
-// in time that they leave; h.mu is held.
-func (h *Holder) dropOldNotices() {
+// expireNotices makes targets usable again if the log has not confirmed in time that they leave;
+// h.mu is held.
+func (h *Holder) expireNotices() {
 	for worker := range h.leaving {
 		i, _ := h.state.Instances.Get(worker)
-		h.checkNotice(i.Worker)
+		h.expireNotice(i.Worker)
 		if t, ok := h.targets[worker]; ok && h.leaving[worker] == nil {
 			t.serving = i.Serving()
 		}
 	}
 }
 
-// MarkLeaving stops new requests to targets before the log says that they leave.
-func (h *Holder) MarkLeaving(workers []string) (news bool) {
+// MarkLeaving stops new requests to targets that leave before the log reports it, and returns
+// whether that was new for any of them.
+func (h *Holder) MarkLeaving(workers []string) (added bool) {
 	h.mu.Lock()
 	h.init()
 	for _, w := range workers {
 		if h.leaving[w] != nil {
 			continue
 		}
-		news = true
+		added = true
 		i, _ := h.state.Instances.Get(w)
 		h.leaving[w] = &notice{boot: i.Worker.BootCount, at: h.Clock.Now(), confirmed: i.Worker.Condition != fleet.Live}
 		if t, ok := h.targets[w]; ok {
 			t.serving = false
 		}
 	}
-	kicks := h.returnIdle()
+	owners := h.returnIdle()
 	h.mu.Unlock()
-	h.kickAll(kicks)
-	return news
+	h.requestExchanges(owners)
+	return added
 }
--- a/services/slots/notice_test.go
+++ b/services/slots/notice_test.go
@@ -12,7 +12,7 @@
 	"github.com/yardbridge/yardbridge/models/record"
 )
 
-// serving counts the targets that a holder would use.
+// serving counts the targets to which a holder would send requests.
 func serving(h *Holder) int {
 	targets, _ := h.Dump()
 	n := 0
@@ -24,7 +24,7 @@
 	return n
 }
 
-func TestEarlyNewsEnds(t *testing.T) {
+func TestLeavingNoticeExpires(t *testing.T) {
 	n := newNetwork(1)
 	d := n.nodes["e0"]
 	see := func(change func(*fleet.Worker)) {
@@ -35,17 +35,17 @@
 	}
 	n.catchUp(d, len(n.log))
 	assert.Assert(t, d.holder.MarkLeaving([]string{"w0"}))
-	assert.Assert(t, !d.holder.MarkLeaving([]string{"w0"}), "old news must not be passed on")
+	assert.Assert(t, !d.holder.MarkLeaving([]string{"w0"}), "a known notice must not be passed on")
 	assert.Equal(t, serving(d.holder), testWorkers-1)
-	// The log confirms it, and then shows that the worker came back.
+	// The log confirms the notice, and then shows that the worker is back.
 	see(func(w *fleet.Worker) { w.Condition = fleet.Leaving })
 	assert.Equal(t, serving(d.holder), testWorkers-1)
 	see(func(w *fleet.Worker) { w.Condition = fleet.Live; w.BootCount++ })
 	assert.Equal(t, serving(d.holder), testWorkers)
-	// News that nobody confirms is dropped in time, though the log is silent.
+	// A notice that the log does not confirm is dropped in time, even without new records.
 	d.holder.MarkLeaving([]string{"w0"})
 	n.catchUp(d, len(n.log))
-	n.clock.Advance(2 * noticeLife)
-	d.holder.askAgain()
+	n.clock.Advance(2 * noticeTTL)
+	d.holder.retryRefused()
 	assert.Equal(t, serving(d.holder), testWorkers)
 }
--- a/services/slots/pick.go
+++ b/services/slots/pick.go
@@ -8,13 +8,12 @@
 	"time"
 )
 
-// pick takes an idle slot of a pool for use, nil where there is none; h.mu is
-// held. Of two targets at random, in this entry's hall if there are any, it
-// takes the cheaper one.
-func (h *Holder) pick(p *poolHoldings, avoid string) *holding {
-	best := h.pickWhere(p, func(t *holding) bool { return t.hall == h.DataCenter && t.worker != avoid && h.mayUse(t) })
+// pick takes an idle slot of a pool into use and returns its target, nil if there is none; h.mu is
+// held. It picks the cheaper of two random targets, in this entry's data centre if possible.
+func (h *Holder) pick(p *poolState, avoid string) *targetState {
+	best := h.pickWhere(p, func(t *targetState) bool { return t.dataCenter == h.DataCenter && t.worker != avoid && h.mayUse(t) })
 	if best == nil {
-		best = h.pickWhere(p, func(t *holding) bool { return t.worker != avoid && h.mayUse(t) })
+		best = h.pickWhere(p, func(t *targetState) bool { return t.worker != avoid && h.mayUse(t) })
 	}
 	if best == nil {
 		return nil
@@ -23,12 +22,12 @@
 	return best
 }
 
-func (h *Holder) mayUse(t *holding) bool {
+func (h *Holder) mayUse(t *targetState) bool {
 	return h.MayUse == nil || h.MayUse(t.worker)
 }
 
-func (h *Holder) pickWhere(p *poolHoldings, fits func(*holding) bool) *holding {
-	var first, second *holding
+func (h *Holder) pickWhere(p *poolState, fits func(*targetState) bool) *targetState {
+	var first, second *targetState
 	seen := 0
 	for _, t := range p.targets {
 		if t.idle() <= 0 || !t.serving || !fits(t) {
@@ -50,23 +49,23 @@
 	return first
 }
 
-func (h *Holder) cost(t *holding) float64 {
+func (h *Holder) cost(t *targetState) float64 {
 	if h.Cost == nil {
 		return float64(t.inUse)
 	}
 	return h.Cost(t.worker, t.inUse)
 }
 
-// wantMore returns the owner to ask for slots, since requests wait; h.mu is
-// held. This entry is asked first, then owners in its hall, then the others,
-// each once those before it have refused or do not answer.
-func (h *Holder) wantMore(p *poolHoldings) []string {
+// ownersToRequest returns the owner to request slots from for waiting requests; h.mu is held. This
+// entry comes first, then owners in its data centre, then the others, each after the previous ones
+// have refused or do not respond.
+func (h *Holder) ownersToRequest(p *poolState) []string {
 	if p.queue.all() == 0 {
 		return nil
 	}
 	nearest, distance := "", 0
 	for _, t := range p.targets {
-		if t.owner == "" || !t.serving || p.askedAt[t.owner] || !h.mayUse(t) {
+		if t.owner == "" || !t.serving || p.refusedBy[t.owner] || !h.mayUse(t) {
 			continue
 		}
 		if d := h.distance(t.owner); nearest == "" || d < distance {
@@ -79,13 +78,13 @@
 	return []string{nearest}
 }
 
-// distance orders owners: this entry, those in its hall, all others, those that
-// do not answer.
+// distance orders owners: this entry, those in its data centre, all others, those that do not
+// respond.
 func (h *Holder) distance(owner string) int {
 	if owner == h.Name {
 		return 0
 	}
-	if h.silent[owner] {
+	if h.unresponsive[owner] {
 		return 3
 	}
 	if e, _ := h.state.Entries.Get(owner); e.DataCenter == h.DataCenter {
@@ -94,19 +93,19 @@
 	return 2
 }
 
-// askAgain forgets which owners refused, in case a poke was lost, and returns
-// the owners to ask.
-func (h *Holder) askAgain() []string {
+// retryRefused clears the recorded refusals, in case a notification was lost, and returns the
+// owners to ask.
+func (h *Holder) retryRefused() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.dropOldNotices()
-	var kicks []string
+	h.expireNotices()
+	var owners []string
 	for _, p := range h.pools {
-		clear(p.askedAt)
-		kicks = append(kicks, h.wantMore(p)...)
+		clear(p.refusedBy)
+		owners = append(owners, h.ownersToRequest(p)...)
 	}
-	return kicks
+	return owners
 }
 
-// RetryPeriod is how often owners that refused are asked again unasked.
+// RetryPeriod is how often owners that refused are asked again without a notification.
 const RetryPeriod = 250 * time.Millisecond
--- a/services/slots/queue.go
+++ b/services/slots/queue.go
@@ -12,27 +12,27 @@
 
 // waiter is one request that waits for a slot.
 type waiter struct {
-	class    manifest.Class
-	deadline time.Time
-	avoid    string        // worker on which the request failed, empty for none
-	grant    chan *Slot    // gets the slot; holds one
-	shed     chan struct{} // closed when the request is given up on
-	comeBack time.Duration // when to ask again, set before shed is closed
-	gone     bool          // the request waits no more
+	class      manifest.Class
+	deadline   time.Time
+	avoid      string        // worker on which the request failed, empty for none
+	grant      chan *Slot    // receives the slot; has a buffer of one
+	shed       chan struct{} // closed when the request is dropped
+	retryAfter time.Duration // time after which to retry, set before shed is closed
+	removed    bool          // no longer waiting
 }
 
 // queue holds the waiting requests of one pool, interactive ones first.
 type queue struct {
 	interactive []*waiter
 	batch       []*waiter
-	choosy      []*waiter // repeats that leave slots of the target that failed them to others
+	avoiding    []*waiter // retries that leave the slots of the target that failed them to other requests
 }
 
-// len returns how many requests wait for a slot of any target.
+// len returns the number of requests that wait for a slot of any target.
 func (q *queue) len() int { return len(q.interactive) + len(q.batch) }
 
-// all returns how many requests wait.
-func (q *queue) all() int { return q.len() + len(q.choosy) }
+// all returns the number of waiting requests.
+func (q *queue) all() int { return q.len() + len(q.avoiding) }
 
 func (q *queue) add(w *waiter) {
 	if w.class == manifest.Batch {
@@ -42,14 +42,14 @@
 	q.interactive = append(q.interactive, w)
 }
 
-// next takes the first request that is still in time, nil for none; those that
-// are not get their answer from their own timers.
+// next removes and returns the first request whose deadline has not passed, nil for none. The
+// others end by their own timers.
 func (q *queue) next(now time.Time) *waiter {
 	for _, line := range []*[]*waiter{&q.interactive, &q.batch} {
 		for len(*line) > 0 {
 			w := (*line)[0]
 			*line = (*line)[1:]
-			if !w.gone && now.Before(w.deadline) {
+			if !w.removed && now.Before(w.deadline) {
 				return w
 			}
 		}
@@ -66,25 +66,24 @@
 }
 
 func (q *queue) remove(w *waiter) {
-	w.gone = true
+	w.removed = true
 	q.interactive = without(q.interactive, w)
 	q.batch = without(q.batch, w)
-	q.choosy = without(q.choosy, w)
+	q.avoiding = without(q.avoiding, w)
 }
 
-// avoided returns the worker on which the first choosy request has failed,
-// empty for none.
+// avoided returns the worker on which the first avoiding request has failed, empty for none.
 func (q *queue) avoided() string {
-	if len(q.choosy) == 0 {
+	if len(q.avoiding) == 0 {
 		return ""
 	}
-	return q.choosy[0].avoid
+	return q.avoiding[0].avoid
 }
 
-// settle has a choosy request take a slot of any target, as the next one.
-func (q *queue) settle(w *waiter) {
-	if slices.Contains(q.choosy, w) {
-		q.choosy = without(q.choosy, w)
+// stopAvoiding lets an avoiding request take a slot of any target, as the next one.
+func (q *queue) stopAvoiding(w *waiter) {
+	if slices.Contains(q.avoiding, w) {
+		q.avoiding = without(q.avoiding, w)
 		q.putBack(w)
 	}
 }
@@ -98,16 +97,16 @@
 	return line
 }
 
-// shedOldest gives up on the request of a line that has waited longest, and
-// reports whether there was one.
+// shedOldest drops the request of a line that has waited longest, and reports whether there was
+// one.
 func shedOldest(line *[]*waiter, comeBack time.Duration) bool {
 	if len(*line) == 0 {
 		return false
 	}
 	w := (*line)[0]
 	*line = (*line)[1:]
-	w.gone = true
-	w.comeBack = comeBack
+	w.removed = true
+	w.retryAfter = comeBack
 	close(w.shed)
 	return true
 }
--- a/services/slots/repeat_test.go
+++ b/services/slots/repeat_test.go
@@ -14,7 +14,7 @@
 	"github.com/yardbridge/yardbridge/modules/clock"
 )
 
-// granted returns the worker of a waiter's slot, empty where it has none yet.
+// granted returns the worker of the slot that a waiter was granted, empty if it has none yet.
 func granted(w *waiter) string {
 	select {
 	case s := <-w.grant:
@@ -24,8 +24,8 @@
 	}
 }
 
-// repeat makes a request wait that has just failed on a target.
-func repeat(t *testing.T, n *network, h *Holder, failedOn string) *waiter {
+// retryRequest enqueues a request that has just failed on a target.
+func retryRequest(t *testing.T, n *network, h *Holder, failedOn string) *waiter {
 	t.Helper()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -36,14 +36,14 @@
 	return w
 }
 
-// firstSlot returns a network of one entry, which holds a single slot: it has
-// borrowed that for its first request, on w0.
+// firstSlot returns a network of one entry that holds a single slot, borrowed on w0 for its first
+// request.
 func firstSlot(t *testing.T) (*network, *node) {
 	t.Helper()
 	n := newNetwork(1)
 	d := n.nodes["e0"]
 	n.catchUp(d, len(n.log))
-	d.want()
+	d.requestSlot()
 	n.exchange(d, "e0")
 	d.collect()
 	assert.Equal(t, len(d.used), 1)
@@ -51,24 +51,24 @@
 	return n, d
 }
 
-// TestRepeatWaitsForTheSlotOfAnotherTarget: the slot on which a request has
-// failed may come back before the owner has been asked for one of another
-// target; the repeat leaves it to others.
-func TestRepeatWaitsForTheSlotOfAnotherTarget(t *testing.T) {
+// TestRetryWaitsForAnotherTarget checks that a retry leaves the slot on which the request has
+// failed to others, even if that slot is released before the owner has been asked for a slot of
+// another target.
+func TestRetryWaitsForAnotherTarget(t *testing.T) {
 	n, d := firstSlot(t)
-	w := repeat(t, n, d.holder, "w0")
+	w := retryRequest(t, n, d.holder, "w0")
 	d.used[0].Release()
 	assert.Equal(t, granted(w), "", "no owner has been asked yet")
 	n.exchange(d, "e0")
 	assert.Equal(t, granted(w), "w1")
 }
 
-// TestRepeatHoldsUpNobody: the slot that a repeat leaves to others serves the
-// next request, before it waits and while it does.
-func TestRepeatHoldsUpNobody(t *testing.T) {
+// TestRetryDelaysNoOtherRequest checks that the slot which a retry leaves to others serves the next
+// request, whether that is queued before or after the release.
+func TestRetryDelaysNoOtherRequest(t *testing.T) {
 	n, d := firstSlot(t)
-	w := repeat(t, n, d.holder, "w0")
-	plain, err := ask(n, d.holder, manifest.Interactive)
+	w := retryRequest(t, n, d.holder, "w0")
+	plain, err := enqueueRequest(n, d.holder, manifest.Interactive)
 	assert.NilError(t, err)
 	d.used[0].Release()
 	assert.Equal(t, granted(plain), "w0")
@@ -77,9 +77,9 @@
 	assert.Equal(t, granted(w), "w1")
 }
 
-// TestRepeatTakesTheFailedTargetWhereNoOtherMayCome: the owner has no other
-// target's slot to lend, or there is no other target.
-func TestRepeatTakesTheFailedTargetWhereNoOtherMayCome(t *testing.T) {
+// TestRetryUsesFailedTargetWithoutAlternative checks that a retry takes a slot of the failed target
+// if the owner has no slot of another target to lend, or if there is no other target.
+func TestRetryUsesFailedTargetWithoutAlternative(t *testing.T) {
 	for name, leave := range map[string][]string{
 		"no other target":        {"w1", "w2"},
 		"the owner has lent all": nil,
@@ -92,7 +92,7 @@
 					d.lender.owned[worker].lent[holderKey{"e1", 1}] = testSlots
 				}
 			}
-			w := repeat(t, n, d.holder, "w0")
+			w := retryRequest(t, n, d.holder, "w0")
 			d.used[0].Release()
 			n.exchange(d, "e0")
 			assert.Equal(t, granted(w), "w0")
@@ -100,31 +100,32 @@
 	}
 }
 
-// TestRepeatWaitsAWhileOnly: an owner that does not answer keeps a repeat from
-// the one idle slot for a part of its time.
-func TestRepeatWaitsAWhileOnly(t *testing.T) {
+// TestRetryWaitIsBounded checks that an owner which does not respond keeps a retry from the only
+// idle slot for no more than a part of its time.
+func TestRetryWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, d := firstSlot(t)
-		d.holder.Clock = clock.Clock{} // of the bubble
+		d.holder.Clock = clock.Clock{} // of the synctest bubble
 		d.used[0].Release()
-		begun := time.Now()
+		startedAt := time.Now()
 		s, err := d.holder.Acquire(t.Context(), AcquireRequest{
-			Pool: "p", Class: manifest.Interactive, Deadline: begun.Add(testDeadline), Limit: 1000, Avoid: "w0",
+			Pool: "p", Class: manifest.Interactive, Deadline: startedAt.Add(testDeadline), Limit: 1000, Avoid: "w0",
 		})
 		assert.NilError(t, err)
 		assert.Equal(t, s.Worker(), "w0")
-		assert.Equal(t, time.Since(begun), testDeadline/choosyShare)
+		assert.Equal(t, time.Since(startedAt), testDeadline/avoidShare)
 		assert.Equal(t, n.nodes["e0"].holder.pool("p").queue.all(), 0)
 	})
 }
 
-// TestAvoidedTargetIsLentLast: it failed, so it is the emptiest.
+// TestAvoidedTargetIsLentLast checks that the target on which the request failed is lent last,
+// although it has the most free slots.
 func TestAvoidedTargetIsLentLast(t *testing.T) {
 	n, d := firstSlot(t)
 	for _, worker := range []string{"w1", "w2"} {
 		d.lender.owned[worker].lent[holderKey{"e1", 1}] = testSlots - 1
 	}
-	w := repeat(t, n, d.holder, "w0")
+	w := retryRequest(t, n, d.holder, "w0")
 	n.exchange(d, "e0")
 	assert.Equal(t, granted(w), "w1")
 }
--- a/services/slots/return.go
+++ b/services/slots/return.go
@@ -5,30 +5,30 @@
 
 import "slices"
 
-// returnIdle gives back the idle slots of targets that serve no more; h.mu is
-// held, and the owners to kick are returned.
+// returnIdle returns the idle slots of targets that no longer serve, and the owners to exchange
+// with; h.mu is held.
 func (h *Holder) returnIdle() []string {
-	var kicks []string
+	var owners []string
 	for _, t := range h.targets {
 		if !t.serving && t.idle() > 0 {
 			t.held = t.inUse
 			t.dirty = true
 		}
 		if t.dirty && t.owner != "" {
-			kicks = append(kicks, t.owner)
+			owners = append(owners, t.owner)
 		}
 	}
-	return kicks
+	return owners
 }
 
-// release gives a slot back into the entry's hands: to the next request that
-// waits, or to the owner that recalled it, or to rest. h.mu is held.
-func (h *Holder) release(t *holding) (kicks []string) {
+// release ends the use of a slot: it goes to the next waiting request, returns to the owner that
+// recalled it, or becomes idle. h.mu is held.
+func (h *Holder) release(t *targetState) (owners []string) {
 	t.inUse--
 	p := h.pool(t.pool)
-	if !t.serving || p.owed[t.owner] > 0 {
+	if !t.serving || p.recalled[t.owner] > 0 {
 		if t.serving {
-			p.owed[t.owner]--
+			p.recalled[t.owner]--
 		}
 		t.held--
 		t.dirty = true
@@ -38,10 +38,10 @@
 	return nil
 }
 
-// serveQueue hands idle slots to the requests that wait; h.mu is held.
-func (h *Holder) serveQueue(p *poolHoldings) {
+// serveQueue assigns idle slots to waiting requests; h.mu is held.
+func (h *Holder) serveQueue(p *poolState) {
 	now := h.Clock.Now()
-	h.serveChoosy(p)
+	h.serveAvoiding(p)
 	for {
 		w := p.queue.next(now)
 		if w == nil {
@@ -50,7 +50,7 @@
 		}
 		t := h.pick(p, w.avoid)
 		if t == nil && w.avoid != "" {
-			t = h.pick(p, "") // no other one was to be had
+			t = h.pick(p, "") // no other target has an idle slot
 		}
 		if t == nil {
 			p.queue.putBack(w)
@@ -60,49 +60,48 @@
 	}
 }
 
-// serveChoosy hands idle slots of other targets to the requests that have
-// failed on one, and lets those take any slot for which no other one may come;
-// h.mu is held.
-func (h *Holder) serveChoosy(p *poolHoldings) {
-	for _, w := range slices.Clone(p.queue.choosy) {
+// serveAvoiding assigns idle slots of other targets to requests that have failed on one, and lets
+// them take any slot if no other one may become free; h.mu is held.
+func (h *Holder) serveAvoiding(p *poolState) {
+	for _, w := range slices.Clone(p.queue.avoiding) {
 		t := h.pick(p, w.avoid)
 		switch {
 		case t != nil:
-			p.queue.choosy = without(p.queue.choosy, w)
+			p.queue.avoiding = without(p.queue.avoiding, w)
 			w.grant <- h.slotOn(t)
-		case !h.mayCome(p, w.avoid):
-			p.queue.settle(w)
+		case !h.otherMayBeLent(p, w.avoid):
+			p.queue.stopAvoiding(w)
 		}
 	}
 }
 
-// mayCome reports whether a slot of another target may still come: one that is
-// in use here, or one of an owner that has not refused; h.mu is held.
-func (h *Holder) mayCome(p *poolHoldings, avoid string) bool {
-	return slices.ContainsFunc(p.targets, func(t *holding) bool {
+// otherMayBeLent reports whether a slot of another target may become free: one that is in use here,
+// or one of an owner that has not refused; h.mu is held.
+func (h *Holder) otherMayBeLent(p *poolState, avoid string) bool {
+	return slices.ContainsFunc(p.targets, func(t *targetState) bool {
 		if t.worker == avoid || !t.serving || !h.mayUse(t) {
 			return false
 		}
-		return t.held > 0 || t.owner != "" && !p.askedAt[t.owner]
+		return t.held > 0 || t.owner != "" && !p.refusedBy[t.owner]
 	})
 }
 
-// HandleNotification follows an owner's poke.
+// HandleNotification handles a notification of an owner.
 func (h *Holder) HandleNotification(p Notification) {
 	h.mu.Lock()
 	h.init()
 	q := h.pool(p.Pool)
-	delete(q.askedAt, p.Owner)
+	delete(q.refusedBy, p.Owner)
 	if p.Recall > 0 {
-		h.giveBack(q, p)
+		h.returnRecalled(q, p)
 	}
 	h.mu.Unlock()
 	h.RequestExchange(p.Owner)
 }
 
-// giveBack returns idle slots of an owner, and owes it slots in use while this
-// entry holds clearly more than the neediest one.
-func (h *Holder) giveBack(q *poolHoldings, p Notification) {
+// returnRecalled returns idle slots of an owner, and marks slots in use for return while this entry
+// holds at least two more than the entry with the refused request.
+func (h *Holder) returnRecalled(q *poolState, p Notification) {
 	left := p.Recall
 	for _, t := range q.targets {
 		if t.owner != p.Owner || left == 0 || q.queue.len() > 0 {
@@ -116,6 +115,6 @@
 		}
 	}
 	if excess := h.held(q) - p.LeastHeld; excess >= 2 && left > 0 {
-		q.owed[p.Owner] = max(q.owed[p.Owner], min(left, excess/2))
+		q.recalled[p.Owner] = max(q.recalled[p.Owner], min(left, excess/2))
 	}
 }
