--- a/services/pools/assign.go
+++ b/services/pools/assign.go
@@ -14,11 +14,11 @@
 	"github.com/yardbridge/yardbridge/models/state"
 )
 
-// MissingGracePeriod is how long a pool waits for an instance that left the platform's
-// list, while its budget holds without it: most come back, at no move.
+// MissingGracePeriod is how long a pool waits for an instance that has left the platform's list, as
+// long as its budget holds without it. Most such instances return, and then no move is needed.
 const MissingGracePeriod = 2 * time.Minute
 
-// Shortage is what a pool lacks and nothing can fill.
+// Shortage describes a pool that is short of instances and can't be filled.
 type Shortage struct {
 	Pool    string `json:"pool"`
 	Wanted  int    `json:"wanted"`
@@ -26,8 +26,8 @@
 	Reason  string `json:"reason"`
 }
 
-// planner works out records on a state that it changes as it goes, so that
-// each record is decided on what the ones before it lead to.
+// planner builds records on a copy of the state that it updates with each of them, so that each
+// record takes the earlier ones into account.
 type planner struct {
 	s         state.State
 	name      string // of the entry that plans
@@ -37,21 +37,21 @@
 	shortages []Shortage
 	blocked   []BlockedInstance
 
-	spare     []state.Instance // by worker, those that have found no pool yet
-	spareIn   map[rack]int     // of them, by rack
-	incoming  map[string]int   // instances being moved, by the pool that they go to
-	lendTries map[string]int   // looks for an instance to lend, by pool
-	later     []int            // instances that each pool will still lack after this one, most first
+	spare        []state.Instance // spare instances not yet assigned, ordered by worker
+	spareByRack  map[rack]int     // number of spare instances by rack
+	incoming     map[string]int   // instances being moved, by destination pool
+	lendAttempts map[string]int   // searches for an instance to lend, by pool
+	laterMissing []int            // instances that each pool will still be short of after this one, largest number first
 }
 
-// survey gathers what every pool's share is worked out from.
-func (p *planner) survey() {
+// countInstances collects the spare and incoming instances before instances are assigned.
+func (p *planner) countInstances() {
 	p.spare = p.s.PoolInstances(manifest.SparePool)
-	p.spareIn = make(map[rack]int)
+	p.spareByRack = make(map[rack]int)
 	p.incoming = make(map[string]int)
-	p.lendTries = make(map[string]int)
+	p.lendAttempts = make(map[string]int)
 	for _, i := range p.spare {
-		p.spareIn[rackOf(i)]++
+		p.spareByRack[rackOf(i)]++
 	}
 	for _, i := range p.s.OutOfService() {
 		if i.Purpose == record.ForMove {
@@ -60,7 +60,7 @@
 	}
 }
 
-// propose adds a record if the fold would accept it, and reports whether.
+// propose adds a record if the fold would accept it, and reports whether it did.
 func (p *planner) propose(r record.Record) bool {
 	next, verdict := p.s.DryRun(p.name, p.inc, r)
 	if verdict != nil {
@@ -71,14 +71,14 @@
 	return true
 }
 
-// assign fills the pools that are short with the fewest moves.
+// assign fills the pools that are short, with as few moves as possible.
 func (p *planner) assign() {
-	p.emptyUndeclared()
-	p.survey()
+	p.freeUndeclaredPools()
+	p.countInstances()
 	needs := p.needs()
 	for at, n := range needs {
 		for n.missing > 0 {
-			p.later = laterNeeds(n.missing-1, needs[at+1:])
+			p.laterMissing = missingPerPool(n.missing-1, needs[at+1:])
 			if !p.fill(n.pool, nil) {
 				break
 			}
@@ -87,16 +87,15 @@
 		if n.missing > 0 {
 			p.shortages = append(p.shortages, Shortage{
 				Pool: n.pool.Name, Wanted: n.pool.Size, Present: n.pool.Size - n.missing,
-				Reason: "no worker of an allowed kind is spare, and no pool holds more than it asks for",
+				Reason: "no spare worker is of an allowed kind, and no pool holds more than its size",
 			})
 		}
 	}
-	p.later = nil
+	p.laterMissing = nil
 }
 
-// emptyUndeclared puts the instances of pools that are no longer declared
-// among the spare ones.
-func (p *planner) emptyUndeclared() {
+// freeUndeclaredPools makes the instances of pools that are no longer declared spare.
+func (p *planner) freeUndeclaredPools() {
 	for id, i := range p.s.Instances.All() {
 		if i.Pool != manifest.SparePool && p.s.Catalog.Pool(i.Pool) == nil {
 			p.propose(record.Record{Move: &record.Move{Worker: id, Version: i.Version, To: manifest.SparePool}})
@@ -104,39 +103,39 @@
 	}
 }
 
-// need is a pool that is short.
-type need struct {
-	pool    *manifest.Pool
-	missing int
-	broken  bool // its budget does not hold
-	choice  int  // spare workers that it could take
+// poolNeed describes a pool that is short of instances.
+type poolNeed struct {
+	pool         *manifest.Pool
+	missing      int
+	budgetBroken bool // its budget does not hold
+	candidates   int  // number of spare workers that it could take
 }
 
-// needs returns the pools that are short: those whose budget is broken first,
-// then those with the least choice, then those that lack the most.
-func (p *planner) needs() []need {
-	var needs []need
+// needs returns the pools that are short: those whose budget does not hold first, then those with
+// the fewest candidates, then those that are short of the most instances.
+func (p *planner) needs() []poolNeed {
+	var needs []poolNeed
 	for _, q := range p.s.Catalog.Pools() {
 		missing := q.Size - p.present(q)
 		if missing <= 0 {
 			continue
 		}
-		needs = append(needs, need{
-			pool:    q,
-			missing: missing,
-			broken:  p.s.Headroom(q).Spare() < 0,
-			choice:  p.choice(q),
+		needs = append(needs, poolNeed{
+			pool:         q,
+			missing:      missing,
+			budgetBroken: p.s.Headroom(q).Spare() < 0,
+			candidates:   p.countCandidates(q),
 		})
 	}
-	slices.SortStableFunc(needs, func(a, b need) int {
-		if a.broken != b.broken {
-			if a.broken {
+	slices.SortStableFunc(needs, func(a, b poolNeed) int {
+		if a.budgetBroken != b.budgetBroken {
+			if a.budgetBroken {
 				return -1
 			}
 			return 1
 		}
 		return cmp.Or(
-			cmp.Compare(a.choice, b.choice),
+			cmp.Compare(a.candidates, b.candidates),
 			cmp.Compare(b.missing, a.missing),
 			cmp.Compare(a.pool.Name, b.pool.Name),
 		)
@@ -144,8 +143,8 @@
 	return needs
 }
 
-// choice counts the spare workers that a pool may take.
-func (p *planner) choice(q *manifest.Pool) int {
+// countCandidates counts the spare workers that a pool may take.
+func (p *planner) countCandidates(q *manifest.Pool) int {
 	n := 0
 	for _, i := range p.spare {
 		if i.Serving() && q.AcceptsKind(i.Worker.Kind) {
@@ -157,39 +156,39 @@
 
 // present counts the instances that a pool has or will have again.
 func (p *planner) present(q *manifest.Pool) int {
-	patient := p.s.Headroom(q).Spare() >= 0
+	budgetHolds := p.s.Headroom(q).Spare() >= 0
 	n := 0
 	for _, i := range p.s.PoolInstances(q.Name) {
 		switch {
 		case i.Purpose == record.ForMove:
-		case i.Worker.Condition != fleet.Gone || i.Phase == state.Rebooting && patient:
+		case i.Worker.Condition != fleet.Gone || i.Phase == state.Rebooting && budgetHolds:
 			n++
-		case patient && p.now.Sub(i.GoneAt) < MissingGracePeriod:
+		case budgetHolds && p.now.Sub(i.GoneAt) < MissingGracePeriod:
 			n++
 		}
 	}
 	return n + p.incoming[q.Name]
 }
 
-// fill adds one instance to a pool and reports whether it could: a spare one
-// at once, or one that another pool holds beyond its size after a drain. Of
-// those only the ones that suit count; nil suits all.
-func (p *planner) fill(q *manifest.Pool, suits func(state.Instance) bool) bool {
+// fill adds one instance to a pool and reports whether it could: a spare one immediately, or one
+// that another pool holds beyond its size, after a drain. Only instances for which accepts returns
+// true are used; nil accepts all.
+func (p *planner) fill(q *manifest.Pool, accepts func(state.Instance) bool) bool {
 	spread := p.spreadOf(q)
 	refused := make(map[string]bool)
-	spare := suitable(p.spare, suits)
+	spare := suitable(p.spare, accepts)
 	for {
 		i, ok := p.best(q, spread, spare, refused)
 		if !ok {
 			break
 		}
 		if p.propose(record.Record{Move: &record.Move{Worker: i.Worker.ID, Version: i.Version, To: q.Name}}) {
-			p.took(i)
+			p.takeSpare(i)
 			return true
 		}
 		refused[i.Worker.ID] = true
 	}
-	surplus := suitable(p.surplus(q), suits)
+	surplus := suitable(p.surplus(q), accepts)
 	for {
 		i, ok := p.best(q, spread, surplus, refused)
 		if !ok {
@@ -203,22 +202,21 @@
 	}
 }
 
-// suitable returns the instances that suit, all of them for nil.
-func suitable(instances []state.Instance, suits func(state.Instance) bool) []state.Instance {
-	if suits == nil {
+// suitable returns the accepted instances, all of them if accepts is nil.
+func suitable(instances []state.Instance, accepts func(state.Instance) bool) []state.Instance {
+	if accepts == nil {
 		return instances
 	}
 	var found []state.Instance
 	for _, i := range instances {
-		if suits(i) {
+		if accepts(i) {
 			found = append(found, i)
 		}
 	}
 	return found
 }
 
-// surplus returns the instances of other pools that hold more than they ask
-// for, as far as a pool may take them.
+// surplus returns the instances that a pool may take from pools that hold more than their size.
 func (p *planner) surplus(q *manifest.Pool) []state.Instance {
 	var found []state.Instance
 	for _, o := range p.s.Catalog.Pools() {
@@ -234,58 +232,58 @@
 	return found
 }
 
-// rack names a rack of a hall.
-type rack struct{ hall, name string }
+// rack identifies a rack in a data centre.
+type rack struct{ dataCenter, name string }
 
 func rackOf(i state.Instance) rack { return rack{i.Worker.DataCenter, i.Worker.Rack} }
 
-// spread counts the instances of a pool by rack and hall.
+// spread counts the instances of a pool by rack and by data centre.
 type spread struct {
-	racks map[rack]int
-	halls map[string]int
+	racks       map[rack]int
+	dataCenters map[string]int
 }
 
 func (p *planner) spreadOf(q *manifest.Pool) spread {
-	c := spread{racks: make(map[rack]int), halls: make(map[string]int)}
+	c := spread{racks: make(map[rack]int), dataCenters: make(map[string]int)}
 	for _, i := range p.s.PoolInstances(q.Name) {
 		c.racks[rackOf(i)]++
-		c.halls[i.Worker.DataCenter]++
+		c.dataCenters[i.Worker.DataCenter]++
 	}
 	return c
 }
 
-// best returns the candidate that leaves the pool the most when a domain is
-// lost: where the fewest of it stand in the domain that it must survive, then
-// in the rack; of alike ones one on which the fewest jobs run, then one in the
-// hall with the fewest of the pool. Where that would leave the pools that are
-// filled later too few racks, one from the rack with the most spare workers is
-// taken instead.
+// best returns the candidate that leaves the pool the most instances when a failure domain is lost:
+// first from the domain that the pool must survive with the fewest of its instances, then from the
+// rack with the fewest. Among equals it prefers the candidate with the fewest job runs, then the
+// one in the data centre with the fewest instances of the pool. If that would leave too few racks
+// for the pools that are filled later, it takes one from the rack with the most spare workers
+// instead.
 func (p *planner) best(q *manifest.Pool, c spread, candidates []state.Instance, refused map[string]bool) (best state.Instance, ok bool) {
 	fits := func(i *state.Instance) bool {
 		return i.Serving() && q.AcceptsKind(i.Worker.Kind) && !refused[i.Worker.ID]
 	}
-	survive := func(hall int) int {
+	survive := func(inDataCenter int) int {
 		if q.FailureDomain == manifest.DomainDataCenter {
-			return hall
+			return inDataCenter
 		}
 		return 0
 	}
-	even, ok := least(candidates, fits, func(i *state.Instance) [5]int {
-		at, hall := rackOf(*i), c.halls[i.Worker.DataCenter]
-		return [5]int{survive(hall), c.racks[at], p.runsOn(*i), hall, -p.spareIn[at]}
+	even, ok := lowestRank(candidates, fits, func(i *state.Instance) [5]int {
+		at, inDataCenter := rackOf(*i), c.dataCenters[i.Worker.DataCenter]
+		return [5]int{survive(inDataCenter), c.racks[at], p.runsOn(*i), inDataCenter, -p.spareByRack[at]}
 	})
-	if !ok || p.leavesRoom(rackOf(even)) {
+	if !ok || p.leavesEnoughRacks(rackOf(even)) {
 		return even, ok
 	}
-	return least(candidates, fits, func(i *state.Instance) [5]int {
-		at, hall := rackOf(*i), c.halls[i.Worker.DataCenter]
-		return [5]int{survive(hall), c.racks[at], p.runsOn(*i), -p.spareIn[at], hall}
+	return lowestRank(candidates, fits, func(i *state.Instance) [5]int {
+		at, inDataCenter := rackOf(*i), c.dataCenters[i.Worker.DataCenter]
+		return [5]int{survive(inDataCenter), c.racks[at], p.runsOn(*i), -p.spareByRack[at], inDataCenter}
 	})
 }
 
-// least returns the first of the candidates that fit whose rank is the
-// smallest, and false where none fits.
-func least(candidates []state.Instance, fits func(*state.Instance) bool, rank func(*state.Instance) [5]int) (best state.Instance, ok bool) {
+// lowestRank returns the first candidate with the lowest rank among those that fit, and false if
+// none fits.
+func lowestRank(candidates []state.Instance, fits func(*state.Instance) bool, rank func(*state.Instance) [5]int) (best state.Instance, ok bool) {
 	var bestRank [5]int
 	at := -1
 	for n := range candidates {
@@ -303,47 +301,48 @@
 	return candidates[at], true
 }
 
-// laterNeeds returns what is lacking after one more instance, most first.
-func laterNeeds(rest int, later []need) []int {
-	lacks := []int{rest}
+// missingPerPool returns the number of missing instances of each pool after one more instance is
+// assigned, largest first.
+func missingPerPool(remaining int, later []poolNeed) []int {
+	missing := []int{remaining}
 	for _, n := range later {
-		lacks = append(lacks, n.missing)
+		missing = append(missing, n.missing)
 	}
-	slices.SortFunc(lacks, func(a, b int) int { return cmp.Compare(b, a) })
-	return lacks
+	slices.SortFunc(missing, func(a, b int) int { return cmp.Compare(b, a) })
+	return missing
 }
 
-// leavesRoom reports whether the pools that are still short could each get
-// their instances in racks of their own if a spare worker of a rack is taken:
-// any k of them need no more than k of each rack's spare workers.
-func (p *planner) leavesRoom(taken rack) bool {
+// leavesEnoughRacks reports whether the pools that are still short could each get instances in
+// distinct racks if a spare worker of a rack is taken: for every k, any k pools must need no more
+// than the sum over all racks of their spare workers, counting at most k for each rack.
+func (p *planner) leavesEnoughRacks(taken rack) bool {
 	racks := make(map[int]int) // by how many spare workers they have
-	for at, spare := range p.spareIn {
+	for at, spare := range p.spareByRack {
 		if at == taken {
 			spare--
 		}
 		racks[spare]++
 	}
-	need := 0
-	for k, lack := range p.later {
-		need += lack
-		room := 0
+	needed := 0
+	for k, missing := range p.laterMissing {
+		needed += missing
+		available := 0
 		for spare, n := range racks {
-			room += n * min(spare, k+1)
+			available += n * min(spare, k+1)
 		}
-		if need > room {
+		if needed > available {
 			return false
 		}
 	}
 	return true
 }
 
-// runsOn counts the job runs that hold room on an instance's worker.
+// runsOn counts the job runs that use capacity of an instance's worker.
 func (p *planner) runsOn(i state.Instance) int { return p.s.WorkerUsage(i.Worker.ID).Runs }
 
-// took notes that a spare instance has found a pool.
-func (p *planner) took(i state.Instance) {
-	p.spareIn[rackOf(i)]--
+// takeSpare removes an instance from the spare ones.
+func (p *planner) takeSpare(i state.Instance) {
+	p.spareByRack[rackOf(i)]--
 	at, _ := slices.BinarySearchFunc(p.spare, i.Worker.ID, func(o state.Instance, id string) int {
 		return cmp.Compare(o.Worker.ID, id)
 	})
--- a/services/pools/calendar.go
+++ b/services/pools/calendar.go
@@ -13,17 +13,17 @@
 	"github.com/yardbridge/yardbridge/models/state"
 )
 
-// RackDue is when a rack comes up for maintenance.
+// RackDue is the time at which a rack is due for maintenance.
 type RackDue struct {
 	DataCenter string    `json:"hall"`
 	Rack       string    `json:"rack"`
 	Instances  int       `json:"instances"`
-	From       time.Time `json:"from"` // its oldest instance is due
-	By         time.Time `json:"by"`   // the end of that instance's period
+	From       time.Time `json:"from"` // when its oldest instance becomes due
+	By         time.Time `json:"by"`   // end of that instance's period
 }
 
-// Calendar returns when each rack comes up for maintenance under a catalog, the
-// first one first, and nothing where none is declared.
+// Calendar returns when each rack is due for maintenance under a catalog, the earliest first, and
+// nothing if no maintenance is declared.
 func Calendar(s state.State, c state.Catalog) []RackDue {
 	m := c.Maintenance()
 	if m == nil {
@@ -37,7 +37,7 @@
 		at := rackOf(i)
 		d, ok := racks[at]
 		if !ok {
-			d = &RackDue{DataCenter: at.hall, Rack: at.name}
+			d = &RackDue{DataCenter: at.dataCenter, Rack: at.name}
 			racks[at] = d
 		}
 		d.Instances++
--- a/services/pools/decider.go
+++ b/services/pools/decider.go
@@ -16,17 +16,17 @@
 	"github.com/yardbridge/yardbridge/services/platform"
 )
 
-// The times of the decider.
+// Intervals and timeouts of the decider.
 const (
-	planPeriod    = time.Second
-	planPatience  = 5 * time.Second // between plans while nothing that they rest on changes
-	planTimeout   = 10 * time.Second
-	rebootTimeout = 5 * time.Second
-	rebootPatient = 5 * time.Minute // then a reboot of which nothing came is asked for again
+	planPeriod       = time.Second
+	idlePlanPeriod   = 5 * time.Second // between plans while nothing that they depend on changes
+	planTimeout      = 10 * time.Second
+	rebootTimeout    = 5 * time.Second
+	rebootRetryAfter = 5 * time.Minute // after which a reboot without effect is requested again
 )
 
-// Decider proposes plans while its entry holds the role, and reboots what the
-// log has accepted.
+// Decider proposes plans while its entry holds the role, and requests the reboots that the log has
+// accepted.
 type Decider struct {
 	Clock       clock.Clock
 	Logger      log.Logger
@@ -36,21 +36,21 @@
 	Changed     func() (state.State, <-chan struct{})
 	Propose     func(ctx context.Context, records []record.Record) ([]state.Verdict, error)
 
-	basis   planBasis // of the last plan; only the loop uses it
-	planned time.Time
+	lastBasis planBasis // of the latest plan; used by the loop only
+	plannedAt time.Time
 
 	mu       sync.Mutex
 	last     Plan
-	rebooted map[string]asked // by worker
+	rebooted map[string]rebootRequest // by worker
 }
 
-// asked is a reboot that this process asked the platform for.
-type asked struct {
-	version uint64 // of the instance, which the intent set
+// rebootRequest is a reboot that this process requested from the platform.
+type rebootRequest struct {
+	version uint64 // of the instance, as set by the intent
 	at      time.Time
 }
 
-// Run acts on every change and from time to time until the context ends.
+// Run acts on every change of the state and periodically until the context ends.
 func (d *Decider) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		s, changed := d.Changed()
@@ -65,15 +65,15 @@
 	}
 }
 
-// due reports whether the role, instances, roster or configuration have changed
-// since the last time, or so long has passed that something may have become due.
+// due reports whether the role, the instances, the members or the configuration have changed since
+// the latest plan, or so much time has passed that something may have become due.
 func (d *Decider) due(s state.State) bool {
 	now := d.Clock.Now()
 	basis := planBasis{topology: s.TopologyChangedAt(), version: s.Catalog.Version, holds: d.holds(s)}
-	if basis == d.basis && now.Sub(d.planned) < planPatience {
+	if basis == d.lastBasis && now.Sub(d.plannedAt) < idlePlanPeriod {
 		return false
 	}
-	d.basis, d.planned = basis, now
+	d.lastBasis, d.plannedAt = basis, now
 	return true
 }
 
@@ -81,15 +81,15 @@
 	return s.HoldsRole(record.RolePools, d.Name, d.Incarnation)
 }
 
-// planBasis is what a plan rests on.
+// planBasis is what a plan depends on.
 type planBasis struct {
 	topology uint64
 	version  uint64
-	holds    bool // the role
+	holds    bool // whether the role is held
 }
 
-// RunOnce carries out the accepted reboots of this process, which nobody else may,
-// and proposes the plan for a state if it holds the role.
+// RunOnce requests the accepted reboots of this process, which no other process may request, and
+// proposes the plan for a state if it holds the role.
 func (d *Decider) RunOnce(ctx context.Context, s state.State) {
 	d.reboot(ctx, s)
 	if d.holds(s) {
@@ -114,13 +114,13 @@
 	}
 	for i, v := range verdicts {
 		if v != nil {
-			d.Logger.Info().Err(v).Int("record", i).Msg("part of the plan was overtaken")
+			d.Logger.Info().Err(v).Int("record", i).Msg("a record of the plan was rejected, since the state has changed")
 		}
 	}
 }
 
-// reboot asks the platform for each reboot whose intent this process wrote, and
-// again where nothing came of it for long.
+// reboot requests each reboot whose intent this process wrote, and requests it again if it has had
+// no effect for a long time.
 func (d *Decider) reboot(ctx context.Context, s state.State) {
 	now := d.Clock.Now()
 	for id, i := range s.OutOfService() {
@@ -133,13 +133,13 @@
 		if !d.rebootDue(id, i.Version, now) {
 			continue
 		}
-		d.askReboot(ctx, id)
+		d.requestReboot(ctx, id)
 	}
 }
 
-// askReboot asks the platform for a reboot; one that it surely refused is asked
-// for again at the next occasion.
-func (d *Decider) askReboot(ctx context.Context, worker string) {
+// requestReboot requests a reboot from the platform. One that was definitely refused is requested
+// again the next time.
+func (d *Decider) requestReboot(ctx context.Context, worker string) {
 	bounded, cancel := context.WithTimeout(ctx, rebootTimeout)
 	defer cancel()
 	err := d.Fleet.Reboot(bounded, worker)
@@ -154,22 +154,22 @@
 	}
 }
 
-// rebootDue notes that a reboot is asked for, unless it was lately.
+// rebootDue records that a reboot is requested, and reports false if it was requested recently.
 func (d *Decider) rebootDue(worker string, version uint64, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.rebooted == nil {
-		d.rebooted = make(map[string]asked)
+		d.rebooted = make(map[string]rebootRequest)
 	}
 	a, known := d.rebooted[worker]
-	if known && a.version == version && now.Sub(a.at) < rebootPatient {
+	if known && a.version == version && now.Sub(a.at) < rebootRetryAfter {
 		return false
 	}
-	d.rebooted[worker] = asked{version, now}
+	d.rebooted[worker] = rebootRequest{version, now}
 	return true
 }
 
-// LatestPlan returns the newest plan of this process.
+// LatestPlan returns the latest plan of this process.
 func (d *Decider) LatestPlan() Plan {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/services/pools/maintain.go
+++ b/services/pools/maintain.go
@@ -15,9 +15,9 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// lateShare is the part of the period after which a due instance goes before
+// nearlyOverdueShare is the part of the period after which a due instance takes precedence over
 // others, whatever that costs.
-const lateShare = 0.95
+const nearlyOverdueShare = 0.95
 
 // BlockedInstance is an instance that is due for maintenance and can't be drained.
 type BlockedInstance struct {
@@ -26,15 +26,15 @@
 	Reason string `json:"reason"`
 }
 
-// maintain drains what is due, whole racks as far as budgets allow, and one
-// rack at a time unless time runs out.
+// maintain drains due instances, complete racks as far as budgets allow, and one rack at a time
+// unless the period is about to end.
 func (p *planner) maintain() {
 	m := p.s.Catalog.Maintenance()
 	if m == nil || !inWindow(m, p.now) {
 		return
 	}
 	due := p.due(m)
-	racks := p.racksUnderWork()
+	racks := p.racksInMaintenance()
 	for _, at := range racks {
 		p.drainRack(m, at)
 	}
@@ -46,10 +46,10 @@
 	}
 }
 
-// drainRack drains the instances of a rack that are to be rebooted along.
+// drainRack drains the instances of a rack that are to be rebooted together.
 func (p *planner) drainRack(m *manifest.Maintenance, at rack) {
 	for _, i := range p.inRack(at) {
-		if i.Phase == state.InService && i.Worker.Condition == fleet.Live && p.wants(m, i) {
+		if i.Phase == state.InService && i.Worker.Condition == fleet.Live && p.shouldReboot(m, i) {
 			p.drainOne(i)
 		}
 	}
@@ -64,20 +64,20 @@
 	if m.From <= m.Until {
 		return m.From <= clock && clock < m.Until
 	}
-	return clock >= m.From || clock < m.Until // past midnight
+	return clock >= m.From || clock < m.Until // the window spans midnight
 }
 
-// rebootLimit is how long a reboot keeps other racks waiting; one that takes
-// longer may never come back.
+// rebootLimit is how long a reboot makes other racks wait; a worker that takes longer may never
+// return.
 const rebootLimit = time.Hour
 
-// racksUnderWork returns the racks in which an instance is under maintenance
-// and can still come back, in the order of their workers.
-func (p *planner) racksUnderWork() []rack {
+// racksInMaintenance returns the racks with an instance in maintenance that can still return, in
+// the order of their workers.
+func (p *planner) racksInMaintenance() []rack {
 	var racks []rack
 	for _, i := range p.s.OutOfService() {
-		late := i.Phase == state.Rebooting && p.now.Sub(i.PhaseAt) > rebootLimit
-		if i.Purpose != record.ForMaintenance || i.Worker.Condition == fleet.Gone || late {
+		hung := i.Phase == state.Rebooting && p.now.Sub(i.PhaseAt) > rebootLimit
+		if i.Purpose != record.ForMaintenance || i.Worker.Condition == fleet.Gone || hung {
 			continue
 		}
 		if at := rackOf(i); !slices.Contains(racks, at) {
@@ -87,15 +87,15 @@
 	return racks
 }
 
-// Each of these parts of the period that the oldest due instance has passed
-// doubles the racks under work at once.
-var hurryShares = []float64{0.85, 0.9, 0.95, 1}
+// Each of these parts of the period that the oldest due instance has passed doubles the number of
+// racks in maintenance at once.
+var urgentShares = []float64{0.85, 0.9, 0.95, 1}
 
-// racksAtOnce returns how many racks may be under work: one, and more the
-// nearer the end of the period is for what is due.
+// racksAtOnce returns how many racks may be in maintenance: one, and more as the due instances get
+// closer to the end of their period.
 func (p *planner) racksAtOnce(m *manifest.Maintenance, due []state.Instance) int {
 	racks := 1
-	for _, share := range hurryShares {
+	for _, share := range urgentShares {
 		if len(due) > 0 && p.age(due[0]) >= m.PeriodFraction(share) {
 			racks *= 2
 		}
@@ -103,12 +103,11 @@
 	return racks
 }
 
-// wants reports whether an instance should be rebooted along with its rack: it
-// is due, or halfway there. One on which a job runs waits until it is nearly
-// overdue.
-func (p *planner) wants(m *manifest.Maintenance, i state.Instance) bool {
+// shouldReboot reports whether an instance should be rebooted with its rack: if it is due, or has
+// reached half of that age. An instance with a job run waits until it is nearly overdue.
+func (p *planner) shouldReboot(m *manifest.Maintenance, i state.Instance) bool {
 	if p.runsOn(i) > 0 {
-		return p.age(i) >= m.PeriodFraction(lateShare)
+		return p.age(i) >= m.PeriodFraction(nearlyOverdueShare)
 	}
 	return p.age(i) >= m.PeriodFraction(manifest.DueFraction/2)
 }
@@ -129,68 +128,67 @@
 	return due
 }
 
-// nextRack returns the rack to begin with: that of the oldest due instance that
-// can be drained as things are. One on which a job runs waits until it is nearly
-// overdue; meanwhile it gets new jobs only where no other worker has room.
+// nextRack returns the rack to begin with: that of the oldest due instance that can be drained now.
+// An instance with a job run waits until it is nearly overdue; until then it gets new jobs only if
+// no other worker has enough free capacity.
 //
-// A spare instance is lent to a pool only where there is no such rack, or where
-// an instance is nearly overdue: a pool that has one keeps it until all of its
-// own are done, so that a cycle costs one move for each pool that needs one, and
-// not one for each rack.
-func (p *planner) nextRack(m *manifest.Maintenance, due []state.Instance, taken []rack) (at rack, ok bool) {
+// A spare instance is lent to a pool only if there is no such rack, or if an instance is nearly
+// overdue. A pool keeps a lent instance until all of its own are done, so that a maintenance cycle
+// costs one move for each pool that needs one and not one for each rack.
+func (p *planner) nextRack(m *manifest.Maintenance, due []state.Instance, inProgress []rack) (at rack, ok bool) {
 	var blocked []state.Instance
 	for _, i := range due {
-		late := p.age(i) >= m.PeriodFraction(lateShare)
+		nearlyOverdue := p.age(i) >= m.PeriodFraction(nearlyOverdueShare)
 		err := p.mayDrain(i)
 		switch {
-		case slices.Contains(taken, rackOf(i)):
-		case err == nil && (late || p.runsOn(i) == 0):
+		case slices.Contains(inProgress, rackOf(i)):
+		case err == nil && (nearlyOverdue || p.runsOn(i) == 0):
 			return rackOf(i), true
 		case err == nil: // its job may end in time
 		default:
 			p.block(i, err)
-			if late && p.strengthen(i) {
+			if nearlyOverdue && p.lendInstance(i) {
 				return rackOf(i), true
 			}
 			blocked = append(blocked, i)
 		}
 	}
 	for _, i := range blocked {
-		if p.strengthen(i) {
+		if p.lendInstance(i) {
 			return rackOf(i), true
 		}
 	}
 	return rack{}, false
 }
 
-// mayDrain adds to the budget the rule that work which may not be repeated is
-// left to finish.
+// mayDrain checks the budget and, in addition, that no run which must not be repeated is
+// interrupted.
 func (p *planner) mayDrain(i state.Instance) error {
 	for id, r := range p.s.RunsOn(i.Worker.ID) {
 		if !r.Job.Repeatable {
-			return errkind.New(errkind.Conflict, "job run %s may not be repeated and is left to finish", id)
+			return errkind.New(errkind.Conflict, "job run %s is not repeatable and is left to finish", id)
 		}
 	}
 	return p.s.CheckDrain(i)
 }
 
-// maxLent is how many instances a pool is lent at most: a second one where the
-// first has come to stand in a rack with another one of the pool.
+// maxLent is the largest number of instances lent to a pool: a second one is needed if the first is
+// now in the same rack as another instance of the pool.
 const maxLent = 2
 
-// maxLendTries bounds for how many due instances of a pool a plan looks for one
-// to lend; each look goes through all that could be lent.
-const maxLendTries = 2
+// maxLendAttempts is the number of due instances of a pool for which a plan searches for an
+// instance to lend; each search examines all instances that could be lent.
+const maxLendAttempts = 2
 
-// strengthen lends the pool of a due instance one shared spare instance with
-// which the instance can be drained, and reports whether there is one. An
-// instance in the wrong rack would help nobody.
-func (p *planner) strengthen(due state.Instance) bool {
+// lendInstance lends the pool of a due instance one shared spare instance that allows the due one
+// to be drained, and reports whether there is one. An instance in an unsuitable rack would not
+// help.
+func (p *planner) lendInstance(due state.Instance) bool {
 	q := p.s.Catalog.Pool(due.Pool)
-	if q == nil || p.lendTries[q.Name] >= maxLendTries || p.incoming[q.Name] > 0 || p.present(q) >= q.Size+maxLent {
+	if q == nil || p.lendAttempts[q.Name] >= maxLendAttempts || p.incoming[q.Name] > 0 || p.present(q) >= q.Size+maxLent {
 		return false
 	}
-	p.lendTries[q.Name]++
+	p.lendAttempts[q.Name]++
 	return p.fill(q, func(i state.Instance) bool {
 		return p.s.HeadroomWith(q, []state.Instance{i}, due.Worker.ID).Spare() >= 0
 	})
@@ -206,9 +204,9 @@
 	return found
 }
 
-// block notes why an instance can't be drained.
-func (p *planner) block(i state.Instance, why error) {
-	p.blocked = append(p.blocked, BlockedInstance{i.Worker.ID, i.Pool, errkind.Of(why).Message})
+// block records why an instance can't be drained.
+func (p *planner) block(i state.Instance, reason error) {
+	p.blocked = append(p.blocked, BlockedInstance{i.Worker.ID, i.Pool, errkind.Of(reason).Message})
 }
 
 func (p *planner) drainOne(i state.Instance) {
@@ -219,8 +217,8 @@
 	p.propose(record.Record{Drain: &record.Drain{Worker: i.Worker.ID, Version: i.Version, Purpose: record.ForMaintenance}})
 }
 
-// advance moves instances under maintenance on: to the reboot once they are
-// idle, and back into service once they are up again.
+// advance moves instances in maintenance to the next phase: to the reboot once they are idle, and
+// back into service once they are up again.
 func (p *planner) advance() {
 	for id, i := range p.s.OutOfService() {
 		switch {
--- a/services/pools/maintain_test.go
+++ b/services/pools/maintain_test.go
@@ -18,29 +18,29 @@
 
 const testPeriod = 100 * time.Hour
 
-// cycle maintains a fleet for a while in steps of a quarter of an hour, and
-// returns how many instances were moved.
-func (y *yard) cycle(t *testing.T, d time.Duration) (moves int) {
+// runMaintenance maintains the cluster for some time in steps of a quarter of an hour, and returns
+// the number of instances moved.
+func (y *cluster) runMaintenance(t *testing.T, d time.Duration) (moves int) {
 	t.Helper()
 	for end := y.now.Add(d); y.now.Before(end); y.now = y.now.Add(15 * time.Minute) {
 		for range 3 {
-			for _, r := range y.step().Records {
+			for _, r := range y.runPlan().Records {
 				if r.Move != nil || r.Drain != nil && r.Drain.To != "" {
 					moves++
 				}
 			}
-			y.idle()
+			y.reportIdle()
 		}
-		y.reboot()
+		y.completeReboots()
 		for _, p := range y.s.Catalog.Pools() {
-			assert.Assert(t, y.s.Headroom(p).Spare() >= 0, "pool %s would not survive a further rack", p.Name)
+			assert.Assert(t, y.s.Headroom(p).Spare() >= 0, "pool %s would not survive the loss of another rack", p.Name)
 		}
 	}
 	return moves
 }
 
-// tight returns pools that hold one instance beyond what must stay.
-func tight(pools, size int) []manifest.Pool {
+// tightPools returns pools with one instance beyond those that must stay available.
+func tightPools(pools, size int) []manifest.Pool {
 	var list []manifest.Pool
 	for n := range pools {
 		list = append(list, pool(fmt.Sprintf("p%d", n), size, size-1))
@@ -48,145 +48,145 @@
 	return list
 }
 
-// assertMaintained fails unless every instance was rebooted since a time.
-func (y *yard) assertMaintained(t *testing.T, since time.Time) {
+// assertMaintained fails unless every instance was rebooted after a time.
+func (y *cluster) assertMaintained(t *testing.T, since time.Time) {
 	t.Helper()
 	for id, i := range y.s.Instances.All() {
 		assert.Assert(t, i.MaintainedAt.After(since), "%s of %s was not maintained", id, i.Pool)
 	}
 }
 
-// TestLentInstanceStaysUntilThePoolIsDone: five pools without room share one
-// spare worker; each must be lent it, or one that it stands in for, and that
-// should be all the moves there are.
+// TestLentInstanceStaysUntilThePoolIsDone checks that five pools without free capacity share one
+// spare worker. Each must be lent that worker, or one that it replaces, and there should be no
+// other moves.
 func TestLentInstanceStaysUntilThePoolIsDone(t *testing.T) {
-	y := newYard(4, tight(5, 3)...)
-	y.step()
-	y.maintain(testPeriod)
+	y := newCluster(4, tightPools(5, 3)...)
+	y.runPlan()
+	y.declareMaintenance(testPeriod)
 	y.now = y.now.Add(testPeriod * 8 / 10)
-	moves := y.cycle(t, testPeriod*2/10)
+	moves := y.runMaintenance(t, testPeriod*2/10)
 	y.assertMaintained(t, begin.Add(time.Hour))
 	assert.Assert(t, moves <= 10, "%d moves for five pools", moves)
 }
 
-// TestInstanceInTheWrongRackIsNotLent: the only spare worker stands beside an
-// instance of the pool, so that lending it would make no room.
-func TestInstanceInTheWrongRackIsNotLent(t *testing.T) {
-	y := newYard(2, pool("a", 2, 1))
+// TestInstanceInSameRackIsNotLent checks that the only spare worker is not lent if it is in the
+// same rack as an instance of the pool, since that would not allow a drain.
+func TestInstanceInSameRackIsNotLent(t *testing.T) {
+	y := newCluster(2, pool("a", 2, 1))
 	for id, i := range y.s.Instances.All() {
 		if i.Worker.Rack == "r1" && id != "w004" {
-			y.see(id, func(w *fleet.Worker) { w.Condition = fleet.Leaving })
+			y.updateWorker(id, func(w *fleet.Worker) { w.Condition = fleet.Leaving })
 		}
 	}
-	y.step()
-	y.maintain(testPeriod)
+	y.runPlan()
+	y.declareMaintenance(testPeriod)
 	y.now = y.now.Add(testPeriod * 8 / 10)
-	// w000 or its like in r0 and w004 in r1 serve; what is spare is in r0.
-	p := y.step()
+	// w000 or another worker in r0 and w004 in r1 serve; the spare workers are in r0.
+	p := y.runPlan()
 	for _, r := range p.Records {
-		assert.Assert(t, r.Move == nil, "%+v was lent in vain", r.Move)
+		assert.Assert(t, r.Move == nil, "%+v was lent without effect", r.Move)
 	}
-	assert.Assert(t, len(p.Blocked) > 0, "what can't be drained must be said")
+	assert.Assert(t, len(p.Blocked) > 0, "instances that can't be drained must be reported")
 }
 
-// TestMoreRacksNearTheEndOfThePeriod: late instances are not kept waiting by
-// one rack after another.
-func TestMoreRacksNearTheEndOfThePeriod(t *testing.T) {
+// TestMoreRacksNearEndOfPeriod checks that near the end of the period several racks are maintained
+// at once.
+func TestMoreRacksNearEndOfPeriod(t *testing.T) {
 	for late, want := range map[float64]int{0.81: 1, 0.86: 2, 0.91: 4, 0.96: 8} {
-		y := newYard(12, pool("a", 2, 0))
-		y.step()
-		y.maintain(testPeriod)
+		y := newCluster(12, pool("a", 2, 0))
+		y.runPlan()
+		y.declareMaintenance(testPeriod)
 		y.now = y.now.Add(time.Duration(float64(testPeriod) * late))
 		for range 12 {
-			y.step()
+			y.runPlan()
 		}
-		assert.Equal(t, racksUnderWork(y.s), want, "at %g of the period", late)
+		assert.Equal(t, racksOutOfService(y.s), want, "at %g of the period", late)
 	}
 }
 
-// TestRebootThatHangsHoldsUpNothing: a worker that is listed and never comes
-// back from its reboot must not keep the rest of the fleet from maintenance.
-func TestRebootThatHangsHoldsUpNothing(t *testing.T) {
-	y := newYard(3, pool("a", 2, 0))
-	y.step()
-	y.maintain(testPeriod)
+// TestHangingRebootDelaysNoOtherRack checks that a worker which is listed but never returns from
+// its reboot does not keep the other racks from maintenance.
+func TestHangingRebootDelaysNoOtherRack(t *testing.T) {
+	y := newCluster(3, pool("a", 2, 0))
+	y.runPlan()
+	y.declareMaintenance(testPeriod)
 	y.now = y.now.Add(testPeriod * 81 / 100)
-	y.step()
-	y.idle()
-	y.step()
+	y.runPlan()
+	y.reportIdle()
+	y.runPlan()
 	hung := make(map[string]bool)
 	for id, i := range y.s.Instances.All() {
 		hung[id] = i.Phase == state.Rebooting
 	}
-	assert.Equal(t, racksUnderWork(y.s), 1)
-	y.step()
-	assert.Equal(t, racksUnderWork(y.s), 1)
+	assert.Equal(t, racksOutOfService(y.s), 1)
+	y.runPlan()
+	assert.Equal(t, racksOutOfService(y.s), 1)
 	y.now = y.now.Add(rebootLimit + time.Minute)
-	y.step()
-	assert.Equal(t, racksUnderWork(y.s), 2)
+	y.runPlan()
+	assert.Equal(t, racksOutOfService(y.s), 2)
 	for id, i := range y.s.Instances.All() {
 		assert.Assert(t, !hung[id] || i.Phase == state.Rebooting)
 	}
 }
 
-// occupy makes a job that may be repeated run on a worker.
-func (y *yard) occupy(worker string) {
+// placeJob places a repeatable job on a worker.
+func (y *cluster) placeJob(worker string) {
 	i, _ := y.s.Instances.Get(worker)
 	id := "job-on-" + worker + "@"
 	y.put(record.Record{Submit: &record.Submit{ID: id, Job: manifest.Job{Name: id, Team: "t", Pool: i.Pool, Repeatable: true}}},
 		record.Record{Place: &record.Place{ID: id, Attempt: 1, Worker: worker}})
 }
 
-// TestJobsAreLeftAlone: of alike instances those on which nothing runs are
-// moved and maintained first, and a job's worker not before it is due.
-func TestJobsAreLeftAlone(t *testing.T) {
-	y := newYard(1, pool("a", 4, 0))
-	y.step()
+// TestInstancesWithJobsComeLast checks that among equal instances those without job runs are moved
+// and maintained first, and that a worker with a job is not maintained before it is nearly overdue.
+func TestInstancesWithJobsComeLast(t *testing.T) {
+	y := newCluster(1, pool("a", 4, 0))
+	y.runPlan()
 	for _, id := range []string{"w000", "w001", "w003"} {
-		y.occupy(id)
+		y.placeJob(id)
 	}
 	y.apply(pool("a", 3, 0), pool("b", 1, 0))
-	p := y.step()
+	p := y.runPlan()
 	assert.Equal(t, len(p.Records), 1)
-	assert.Equal(t, p.Records[0].Drain.Worker, "w002", "the idle one is moved")
+	assert.Equal(t, p.Records[0].Drain.Worker, "w002", "the idle worker is moved")
 
-	y = newYard(3, pool("a", 12, 0))
-	y.step()
-	y.maintain(testPeriod)
+	y = newCluster(3, pool("a", 12, 0))
+	y.runPlan()
+	y.declareMaintenance(testPeriod)
 	for n := range 8 { // r0 and r1
-		y.occupy(fmt.Sprintf("w%03d", n))
+		y.placeJob(fmt.Sprintf("w%03d", n))
 	}
 	y.now = y.now.Add(testPeriod * 81 / 100)
-	y.step()
+	y.runPlan()
 	for _, i := range y.s.OutOfService() {
-		assert.Equal(t, i.Worker.Rack, "r2", "jobs run in the other racks")
+		assert.Equal(t, i.Worker.Rack, "r2", "the other racks run jobs")
 	}
-	assert.Equal(t, racksUnderWork(y.s), 1)
+	assert.Equal(t, racksOutOfService(y.s), 1)
 }
 
 func TestCalendar(t *testing.T) {
-	y := newYard(2, pool("a", 2, 0))
+	y := newCluster(2, pool("a", 2, 0))
 	assert.Equal(t, len(Calendar(y.s, y.s.Catalog)), 0)
-	y.maintain(testPeriod)
+	y.declareMaintenance(testPeriod)
 	y.now = y.now.Add(10 * time.Hour)
 	for n := range 4 { // r0
-		y.see(fmt.Sprintf("w%03d", n), func(w *fleet.Worker) { w.BootCount++ })
+		y.updateWorker(fmt.Sprintf("w%03d", n), func(w *fleet.Worker) { w.BootCount++ })
 	}
 	y.now = y.now.Add(time.Hour)
-	y.see("w001", func(w *fleet.Worker) { w.BootCount++ })
-	y.see("w007", func(w *fleet.Worker) { w.Condition = fleet.Gone })
+	y.updateWorker("w001", func(w *fleet.Worker) { w.BootCount++ })
+	y.updateWorker("w007", func(w *fleet.Worker) { w.Condition = fleet.Gone })
 	assert.DeepEqual(t, Calendar(y.s, y.s.Catalog), []RackDue{
 		{DataCenter: "h1", Rack: "r1", Instances: 3, From: begin.Add(80 * time.Hour), By: begin.Add(100 * time.Hour)},
 		{DataCenter: "h0", Rack: "r0", Instances: 4, From: begin.Add(90 * time.Hour), By: begin.Add(110 * time.Hour)},
 	})
 }
 
-// TestPlanIsTheSameForTheSameInput: two entries that plan on one state must not
-// differ, or each would overtake the other.
-func TestPlanIsTheSameForTheSameInput(t *testing.T) {
-	y := newYard(12, pool("a", 22, 18), pool("b", 22, 18))
-	y.step()
-	y.maintain(testPeriod)
+// TestPlanIsDeterministic checks that the same state always gives the same plan. Otherwise two
+// entries that plan on one state would invalidate each other's records.
+func TestPlanIsDeterministic(t *testing.T) {
+	y := newCluster(12, pool("a", 22, 18), pool("b", 22, 18))
+	y.runPlan()
+	y.declareMaintenance(testPeriod)
 	y.now = y.now.Add(testPeriod * 96 / 100)
 	most := 0
 	for n := range 60 {
@@ -194,11 +194,11 @@
 		for range 10 {
 			assert.DeepEqual(t, MakePlan(y.s, "e", 1, y.now), want)
 		}
-		y.step()
-		most = max(most, racksUnderWork(y.s))
+		y.runPlan()
+		most = max(most, racksOutOfService(y.s))
 		if n%3 == 2 {
-			y.idle()
-			y.reboot()
+			y.reportIdle()
+			y.completeReboots()
 		}
 		y.now = y.now.Add(time.Minute)
 	}
--- a/services/pools/plan.go
+++ b/services/pools/plan.go
@@ -10,15 +10,16 @@
 	"github.com/yardbridge/yardbridge/models/state"
 )
 
-// Plan is what should happen next to the instances.
+// Plan holds the records to propose for the instances, and the shortages and blocked instances
+// found.
 type Plan struct {
 	Records   []record.Record
 	Shortages []Shortage
 	Blocked   []BlockedInstance
 }
 
-// MakePlan returns the next steps for a state at a time, as an entry would propose
-// them; it decides the same for the same input.
+// MakePlan returns the next records for a state at a time, as an entry would propose them. It is
+// deterministic: the same input gives the same plan.
 func MakePlan(s state.State, entry string, incarnation uint64, now time.Time) Plan {
 	p := &planner{s: s, name: entry, inc: incarnation, now: now}
 	p.advance()
@@ -27,21 +28,21 @@
 	return Plan{Records: p.records, Shortages: p.shortages, Blocked: p.blocked}
 }
 
-// Preview is what a changed catalog would lead to.
+// Preview is the effect of a changed catalog.
 type Preview struct {
 	Moves     []MovePreview `json:"moves"`
 	Shortages []Shortage    `json:"shortages"`
-	Buffer    int           `json:"buffer"` // instances beyond what must stay available
+	Buffer    int           `json:"buffer"` // instances beyond those that must stay available
 }
 
-// MovePreview is one move that a change would lead to.
+// MovePreview is one move that a changed catalog causes.
 type MovePreview struct {
 	Worker string `json:"worker"`
 	From   string `json:"from"`
 	To     string `json:"to"`
 }
 
-// PreviewCatalog returns what assigning instances would do under a catalog.
+// PreviewCatalog returns the moves and shortages that a catalog would cause.
 func PreviewCatalog(s state.State, c state.Catalog, now time.Time) Preview {
 	s.Catalog = c
 	before := s
