--- a/services/dispatch/answer.go
+++ b/services/dispatch/answer.go
@@ -12,29 +12,28 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// wholeBody is the longest answer that is read to its end before any of it is
-// passed on, so that a broken one can be answered truthfully or sent again.
-const wholeBody = 256 << 10
+// maxBufferedBody is the largest response that is read to its end before any of it is passed on, so
+// that a truncated one can be reported as such or retried.
+const maxBufferedBody = 256 << 10
 
-// copyBytes is the size of the pieces in which longer answers are passed on.
-const copyBytes = 32 << 10
+// chunkBytes is the size of the chunks in which larger responses are passed on.
+const chunkBytes = 32 << 10
 
-// buffer holds a short answer; buffers are used again.
+// buffer holds a short response; buffers are reused.
 type buffer struct{ bytes.Buffer }
 
-// check makes sure that the answer belongs to the request, and reads it if it
-// is short.
-func (c *call) check(a *answer) error {
+// check verifies that the response belongs to the request, and reads its body if it is short.
+func (c *call) check(a *result) error {
 	worker := a.slot.Worker()
 	header := a.response.Header
 	if header.Get(HeaderLeaving) != "" && c.d.OnLeaving != nil {
 		c.d.OnLeaving([]string{worker})
 	}
 	if got := header.Get(HeaderRequestID); got != "" && got != c.id {
-		return errkind.New(errkind.BadResponse, "target %s answered another request", worker)
+		return errkind.New(errkind.BadResponse, "target %s sent the response to another request", worker)
 	}
 	n := a.response.ContentLength
-	if n < 0 || n > wholeBody {
+	if n < 0 || n > maxBufferedBody {
 		return nil
 	}
 	b, _ := c.d.buffers.Get().(*buffer)
@@ -42,34 +41,34 @@
 	b.Grow(int(n) + bytes.MinRead)
 	if _, err := b.ReadFrom(a.response.Body); err != nil {
 		c.d.buffers.Put(b)
-		return errkind.New(errkind.OutcomeUnknown, "target %s broke its answer off: %v", worker, err)
+		return errkind.New(errkind.OutcomeUnknown, "the response of target %s was truncated: %v", worker, err)
 	}
-	a.whole = b
+	a.body = b
 	return nil
 }
 
-// relay passes an answer on to the caller and gives the slot back.
-func (c *call) relay(a *answer) error {
+// relay passes a response on to the caller and releases the slot.
+func (c *call) relay(a *result) error {
 	c.relayHeaders(a)
-	if a.whole != nil {
-		// The slot is free before the caller has the answer, since the target
-		// has nothing left to do.
-		c.end(a)
-		c.relayWhole(a)
+	if a.body != nil {
+		// The slot is released before the response is sent to the caller, since the target has
+		// finished its work.
+		c.finishAttempt(a)
+		c.relayBuffered(a)
 		return nil
 	}
-	c.relayPieces(a)
+	c.relayChunks(a)
 	return nil
 }
 
-// relayKept passes on the answer of an attempt that has ended.
-func (c *call) relayKept() error {
-	c.relayHeaders(c.kept)
-	c.relayWhole(c.kept)
+// relayStored passes on the stored response of an earlier attempt.
+func (c *call) relayStored() error {
+	c.relayHeaders(c.storedResult)
+	c.relayBuffered(c.storedResult)
 	return nil
 }
 
-func (c *call) relayHeaders(a *answer) {
+func (c *call) relayHeaders(a *result) {
 	header := c.w.Header()
 	copyHeaders(header, a.response.Header)
 	header[HeaderRequestID] = []string{c.id}
@@ -77,55 +76,55 @@
 	header[errkind.HeaderOutcome] = []string{string(errkind.Ran)}
 }
 
-// end ends an attempt whose answer was read to its end.
-func (c *call) end(a *answer) {
-	c.judge(a, nil)
+// finishAttempt ends an attempt whose response was read completely.
+func (c *call) finishAttempt(a *result) {
+	c.recordOutcome(a, nil)
 	a.cancel()
 	a.slot.Release()
 }
 
-// relayWhole passes on an answer that was read already.
-func (c *call) relayWhole(a *answer) {
+// relayBuffered passes on a response that is already read completely.
+func (c *call) relayBuffered(a *result) {
 	c.w.WriteHeader(a.response.StatusCode)
-	// A caller that has gone away needs no answer.
-	_, _ = c.w.Write(a.whole.Bytes())
-	c.d.buffers.Put(a.whole)
+	// The error of a caller that has disconnected is ignored.
+	_, _ = c.w.Write(a.body.Bytes())
+	c.d.buffers.Put(a.body)
 }
 
-// relayPieces passes on a long answer as it comes. If it breaks off, so does
-// the caller's connection: a part never looks like the whole.
-func (c *call) relayPieces(a *answer) {
+// relayChunks passes on a large response as it arrives. If the target truncates it, the caller's
+// connection is aborted, so that a part never looks like a complete response.
+func (c *call) relayChunks(a *result) {
 	if c.service.Stream {
 		c.relayStream(a)
 		return
 	}
 	c.w.WriteHeader(a.response.StatusCode)
-	if err := c.copyPieces(a.response.Body); err != nil {
-		c.judge(a, err)
-		c.drop(a, err)
-		c.d.Logger.Warn().Str("request", c.id).Str("worker", a.slot.Worker()).Err(err).Msg("answer broken off")
+	if err := c.copyChunks(a.response.Body); err != nil {
+		c.recordOutcome(a, err)
+		c.abortAttempt(a, err)
+		c.d.Logger.Warn().Str("request", c.id).Str("worker", a.slot.Worker()).Err(err).Msg("response truncated")
 		panic(http.ErrAbortHandler)
 	}
-	c.end(a)
+	c.finishAttempt(a)
 }
 
-// copyPieces reads to the end of the target's answer also when the caller has
-// gone away, so that the slot is in use as long as the target is.
-func (c *call) copyPieces(body io.Reader) error {
-	piece := make([]byte, copyBytes)
-	callerThere := true
+// copyChunks reads the target's response to its end even if the caller has disconnected, so that
+// the slot stays in use as long as the target works.
+func (c *call) copyChunks(body io.Reader) error {
+	chunk := make([]byte, chunkBytes)
+	callerConnected := true
 	flush := http.NewResponseController(c.w)
 	for {
-		n, err := body.Read(piece)
-		if n > 0 && callerThere {
-			_, writeErr := c.w.Write(piece[:n])
-			callerThere = writeErr == nil && flush.Flush() == nil
+		n, err := body.Read(chunk)
+		if n > 0 && callerConnected {
+			_, writeErr := c.w.Write(chunk[:n])
+			callerConnected = writeErr == nil && flush.Flush() == nil
 		}
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
-			return errkind.New(errkind.OutcomeUnknown, "the target broke its answer off: %v", err)
+			return errkind.New(errkind.OutcomeUnknown, "the response of the target was truncated: %v", err)
 		}
 	}
 }
--- a/services/dispatch/attempt.go
+++ b/services/dispatch/attempt.go
@@ -17,118 +17,118 @@
 	"github.com/yardbridge/yardbridge/services/slots"
 )
 
-// maxAttempts bounds how often one request is sent.
+// maxAttempts is the largest number of attempts for one request.
 const maxAttempts = 3
 
-// serveUsual sends a request, and again within the budget where that is safe.
-func (c *call) serveUsual() error {
-	c.d.budget.earn()
+// serveWithRetries sends a request, and retries it within the retry budget if that is safe.
+func (c *call) serveWithRetries() error {
+	c.d.budget.addRequest()
 	for attempt := 1; ; attempt++ {
 		a, err := c.attempt(c.transport())
-		if err == nil && !c.failed(a) {
+		if err == nil && !c.isServerError(a) {
 			return c.relay(a)
 		}
-		again := attempt < maxAttempts && c.mayRetry(a, err) && c.d.budget.spend()
+		retry := attempt < maxAttempts && c.mayRetry(a, err) && c.d.budget.takeRetry()
 		switch {
-		case err == nil && !again:
+		case err == nil && !retry:
 			return c.relay(a) // the target's own error
 		case err == nil:
-			c.keep(a)
-		case !again:
-			return c.giveUp(err)
+			c.storeResult(a)
+		case !retry:
+			return c.finalError(err)
 		}
 		if err != nil && !notRun(err) {
-			c.lost = err
+			c.unknownErr = err
 		}
-		c.failedOn = a.slot.Worker()
+		c.lastFailedWorker = a.slot.Worker()
 		c.d.Metrics.Retries.Inc(1)
 	}
 }
 
-// failed reports whether a whole answer is a server error, so that another
-// target may do better.
-func (c *call) failed(a *answer) bool {
-	return a.whole != nil && a.response.StatusCode >= http.StatusInternalServerError
+// isServerError reports whether a completely read response is a server error, so that another
+// target may succeed.
+func (c *call) isServerError(a *result) bool {
+	return a.body != nil && a.response.StatusCode >= http.StatusInternalServerError
 }
 
-// keep ends an attempt whose answer was read to its end, and keeps the answer
-// in case that no later attempt reaches a target.
-func (c *call) keep(a *answer) {
-	c.end(a)
-	c.kept = a
+// storeResult ends an attempt whose response was read completely, and stores the response in case
+// no later attempt reaches a target.
+func (c *call) storeResult(a *result) {
+	c.finishAttempt(a)
+	c.storedResult = a
 }
 
-// giveUp answers after an attempt that failed for good. A refusal of the last
-// attempt is no refusal of the request where one before it reached a target.
-func (c *call) giveUp(err error) error {
+// finalError responds after an attempt that is not retried. A refusal of the last attempt does not
+// count as a refusal of the request if an earlier attempt reached a target.
+func (c *call) finalError(err error) error {
 	switch {
 	case !notRun(err):
 		return err
-	case c.kept != nil:
-		return c.relayKept()
-	case c.lost != nil:
-		return errkind.New(errkind.OutcomeUnknown, "%s; no other attempt was made: %s", errkind.Of(c.lost).Message, errkind.Of(err).Message)
+	case c.storedResult != nil:
+		return c.relayStored()
+	case c.unknownErr != nil:
+		return errkind.New(errkind.OutcomeUnknown, "%s; no other attempt was made: %s", errkind.Of(c.unknownErr).Message, errkind.Of(err).Message)
 	}
 	return err
 }
 
-// notRun reports whether an error says that no target had the request.
+// notRun reports whether an error means that no target received the request.
 func notRun(err error) bool { return errkind.Of(err).Kind.Response().Outcome == errkind.NotRun }
 
-// mayRetry reports whether a failed attempt may be followed by another one:
-// always while no target can have seen it, and else only if the request may
-// be repeated. A refusal for want of a slot is final.
-func (c *call) mayRetry(a *answer, err error) bool {
+// mayRetry reports whether a failed attempt may be retried: always if no target can have received
+// the request, and otherwise only if the request is repeatable. A refusal for lack of a slot is
+// final.
+func (c *call) mayRetry(a *result, err error) bool {
 	if a == nil || c.body == nil || !c.d.Clock.Now().Before(c.deadline) {
 		return false
 	}
 	return errkind.Is(err, errkind.NoTarget) || c.service.IsRepeatable(c.r.Method)
 }
 
-// transport returns connections that the library may send a request on twice
-// only where the service allows that.
+// transport returns a transport that may send a request twice on its own only if the service allows
+// that.
 func (c *call) transport() *http.Transport {
 	if c.service.IsRepeatable(c.r.Method) || c.r.Method == http.MethodPost && c.key == "" {
-		// The library sends a POST again only if no byte of it was written.
-		return c.d.shared
+		// net/http sends a POST again only if no byte of it was written.
+		return c.d.pooled
 	}
-	return c.d.single
+	return c.d.unpooled
 }
 
-// answer is what came of one attempt.
-type answer struct {
-	slot     *slots.Slot
-	response *http.Response // nil for none
-	whole    *buffer        // the body, where it was read already
-	cancel   context.CancelFunc
-	asked    time.Time // for the slot
-	sent     time.Time
-	steps    steps
+// result is the outcome of one attempt.
+type result struct {
+	slot            *slots.Slot
+	response        *http.Response // nil if none was received
+	body            *buffer        // the body, if it was read already
+	cancel          context.CancelFunc
+	slotRequestedAt time.Time // when the slot was requested
+	sentAt          time.Time
+	steps           traceTimes
 }
 
-// attempt gets a slot and sends the request. The answer is nil where no slot
-// was had; it holds no slot any more where the error is not nil.
-func (c *call) attempt(t *http.Transport) (*answer, error) {
+// attempt acquires a slot and sends the request. The result is nil if no slot was acquired; if the
+// error is not nil, the result no longer holds a slot.
+func (c *call) attempt(t *http.Transport) (*result, error) {
 	c.attempts++
 	asked := c.d.Clock.Now()
-	latest := c.latest(asked)
+	latest := c.slotDeadline(asked)
 	slot, err := c.acquire(latest)
 	if err != nil {
 		return nil, err
 	}
-	a := &answer{slot: slot, asked: asked, sent: c.d.Clock.Now(), steps: steps{clock: c.d.Clock}}
-	if !a.sent.Before(latest) {
+	a := &result{slot: slot, slotRequestedAt: asked, sentAt: c.d.Clock.Now(), steps: traceTimes{clock: c.d.Clock}}
+	if !a.sentAt.Before(latest) {
 		slot.Release()
-		return nil, errkind.New(errkind.DeadlinePassed, "a slot of pool %s came too late", c.service.Pool)
+		return nil, errkind.New(errkind.DeadlinePassed, "a slot of pool %s was granted too late", c.service.Pool)
 	}
 	c.d.Outliers.RecordStart(slot.Worker())
 	err = c.send(a, t)
 	if err == nil {
 		return a, nil
 	}
-	c.tell(a, err)
-	c.judge(a, err)
-	c.drop(a, err)
+	c.logFailure(a, err)
+	c.recordOutcome(a, err)
+	c.abortAttempt(a, err)
 	return a, err
 }
 
@@ -140,8 +140,8 @@
 			Class:    c.class,
 			Deadline: latest,
 			Limit:    c.service.QueueLength,
-			Typical:  c.d.usual.of(c.service.Pool),
-			Avoid:    c.failedOn,
+			Typical:  c.d.typical.of(c.service.Pool),
+			Avoid:    c.lastFailedWorker,
 		})
 		if err != nil {
 			return nil, err
@@ -153,9 +153,9 @@
 	}
 }
 
-// send sends the request and reads the answer: all of it if it is short, and
-// else its headers.
-func (c *call) send(a *answer, t *http.Transport) error {
+// send sends the request and reads the response: completely if it is short, and only its headers
+// otherwise.
+func (c *call) send(a *result, t *http.Transport) error {
 	ctx := c.withDeadline(a)
 	c.d.Metrics.Sends.Inc(1)
 	response, err := t.RoundTrip(c.outgoing(ctx, a.slot.Address()))
@@ -166,11 +166,11 @@
 	return c.check(a)
 }
 
-// outgoing is the request as the target gets it.
+// outgoing returns the request that is sent to the target.
 func (c *call) outgoing(ctx context.Context, address string) *http.Request {
 	header := make(http.Header, len(c.r.Header)+2)
 	copyHeaders(header, c.r.Header)
-	// The library would take this header as leave to send a request twice.
+	// net/http would take this header as permission to send a request twice.
 	delete(header, HeaderIdempotencyKey)
 	if c.key != "" {
 		header.Set(HeaderTargetKey, c.key)
@@ -197,8 +197,8 @@
 	return out.WithContext(ctx)
 }
 
-// sendError says what a failed attempt means: not run while there was no
-// connection, and else an unknown outcome.
+// sendError returns the meaning of a failed attempt: not run if no connection was established, and
+// an unknown outcome otherwise.
 func (c *call) sendError(worker string, connected bool, err error) error {
 	switch {
 	case !connected && !c.d.Clock.Now().Before(c.deadline):
@@ -206,11 +206,11 @@
 	case !connected:
 		return errkind.New(errkind.NoTarget, "target %s could not be reached: %v", worker, err)
 	}
-	return errkind.New(errkind.OutcomeUnknown, "target %s did not answer: %v", worker, err)
+	return errkind.New(errkind.OutcomeUnknown, "target %s did not respond: %v", worker, err)
 }
 
-// judge tells the watch how an attempt ended.
-func (c *call) judge(a *answer, err error) {
+// recordOutcome reports the outcome of an attempt to the outlier detector.
+func (c *call) recordOutcome(a *result, err error) {
 	worker := a.slot.Worker()
 	if err != nil {
 		c.d.Outliers.RecordFailure(worker)
@@ -220,17 +220,16 @@
 		c.d.Outliers.RecordFailure(worker)
 		return
 	}
-	took := c.d.Clock.Now().Sub(a.sent)
+	took := c.d.Clock.Now().Sub(a.sentAt)
 	c.d.Outliers.RecordSuccess(worker, took)
-	c.d.usual.add(c.service.Pool, took)
+	c.d.typical.add(c.service.Pool, took)
 }
 
-// drop ends an attempt whose target may still be at work: its slot rests as
-// long again as the target has had, since the connection's end may not stop
-// the work.
-func (c *call) drop(a *answer, err error) {
+// abortAttempt ends an attempt whose target may still be working on it. Its slot is released after
+// as much time again as the target has had, since closing the connection may not stop the work.
+func (c *call) abortAttempt(a *result, err error) {
 	if a.response != nil {
-		// Nothing of a broken answer is used.
+		// Nothing of a truncated response is used.
 		_ = a.response.Body.Close()
 	}
 	a.cancel()
@@ -238,45 +237,44 @@
 		a.slot.Release()
 		return
 	}
-	rest := min(c.d.Clock.Now().Sub(a.sent), maxRest)
+	delay := min(c.d.Clock.Now().Sub(a.sentAt), maxSlotDelay)
 	d := c.d
 	d.active.Begin()
-	go restingSlot{d, a.slot, rest}.run()
+	go delayedRelease{d, a.slot, delay}.run()
 }
 
-// maxRest bounds how long a slot rests after a broken attempt.
-const maxRest = 2 * time.Second
+// maxSlotDelay is the longest time for which a slot is kept after an aborted attempt.
+const maxSlotDelay = 2 * time.Second
 
-// restingSlot gives a slot back after a while.
-type restingSlot struct {
-	d    *Dispatcher
-	slot *slots.Slot
-	rest time.Duration
+// delayedRelease releases a slot after a delay.
+type delayedRelease struct {
+	d     *Dispatcher
+	slot  *slots.Slot
+	delay time.Duration
 }
 
-func (r restingSlot) run() {
+func (r delayedRelease) run() {
 	defer r.d.active.End()
-	<-r.d.Clock.After(r.rest)
+	<-r.d.Clock.After(r.delay)
 	r.slot.Release()
 }
 
-// typicalWeight is the weight of the newest request in a pool's usual time.
+// typicalWeight is the weight of the newest request in a pool's typical time.
 const typicalWeight = 0.05
 
-// usualTimes holds the usual time of each pool's requests in a slot; its zero
-// value knows none.
-type usualTimes struct {
+// typicalTimes holds the typical time of each pool's requests in a slot; its zero value has none.
+type typicalTimes struct {
 	mu    sync.Mutex
 	pools map[string]time.Duration
 }
 
-func (u *usualTimes) of(pool string) time.Duration {
+func (u *typicalTimes) of(pool string) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.pools[pool]
 }
 
-func (u *usualTimes) add(pool string, took time.Duration) {
+func (u *typicalTimes) add(pool string, took time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.pools == nil {
--- a/services/dispatch/budget.go
+++ b/services/dispatch/budget.go
@@ -5,28 +5,27 @@
 
 import "sync"
 
-// The budget of retries: a tenth of the requests, with a few in advance.
+// The retry budget: a tenth of the requests, and a few more in advance.
 const (
 	retryShare   = 0.1
 	retryReserve = 3
 )
 
-// retryBudget keeps the retries a small share of the requests; its zero value
-// is full.
+// retryBudget limits retries to a small share of the requests; its zero value is full.
 type retryBudget struct {
 	mu    sync.Mutex
 	spent float64
 }
 
-// earn notes a request.
-func (b *retryBudget) earn() {
+// addRequest records a request.
+func (b *retryBudget) addRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(b.spent-retryShare, 0)
 }
 
-// spend reports whether one more retry is allowed, and counts it.
-func (b *retryBudget) spend() bool {
+// takeRetry reports whether one more retry is allowed, and counts it.
+func (b *retryBudget) takeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.spent+1 > retryReserve {
--- a/services/dispatch/dispatcher.go
+++ b/services/dispatch/dispatcher.go
@@ -25,7 +25,7 @@
 	"github.com/yardbridge/yardbridge/services/slots"
 )
 
-// Headers of requests and answers.
+// Headers of requests and responses.
 const (
 	HeaderRequestID      = "X-Request-Id"
 	HeaderIdempotencyKey = "Idempotency-Key"    // from the caller
@@ -34,11 +34,11 @@
 	HeaderClass          = "Yardbridge-Class"   // from the caller, interactive or batch
 	HeaderDeadline       = "Yardbridge-Deadline"
 	HeaderConfig         = "Yardbridge-Config"  // version of the configuration that served
-	HeaderLeaving        = "Yardbridge-Leaving" // from a target that wants no more work
+	HeaderLeaving        = "Yardbridge-Leaving" // from a target that accepts no more requests
 	HeaderEnded          = "Yardbridge-Ended"   // trailer of a stream that was ended early
 )
 
-// Dispatcher carries requests; its exported fields are set before first use.
+// Dispatcher forwards requests; its exported fields are set before first use.
 type Dispatcher struct {
 	Clock    clock.Clock
 	Logger   log.Logger
@@ -47,68 +47,68 @@
 	Outliers *outlier.Detector
 	Once     *once.Service
 	Metrics  *metrics.Set
-	// OnLeaving is told of targets that say themselves that they leave.
+	// OnLeaving is called with the workers of targets that announce that they leave.
 	OnLeaving func(workers []string)
-	// IdleConns is how many idle connections are kept to a target.
+	// IdleConns is the number of idle connections kept to a target.
 	IdleConns int
-	// MaxBody is the largest body of a request in bytes.
+	// MaxBody is the largest request body in bytes.
 	MaxBody int64
 
-	dial     func(ctx context.Context, network, address string) (net.Conn, error) // nil for the network's
-	start    sync.Once
-	shared   *http.Transport // keeps connections
-	single   *http.Transport // one connection a request, never sent twice by the library
-	budget   retryBudget
-	usual    usualTimes
-	stopping atomic.Bool
-	newest   atomic.Int64  // when the newest request came, in nanoseconds
-	ended    chan struct{} // closed when streams must end
-	endOnce  sync.Once
-	active   inflight.Counter
-	buffers  sync.Pool
-	keys     atomic.Pointer[config.Config] // customers of a version of the catalog, nil before the first key
+	dial        func(ctx context.Context, network, address string) (net.Conn, error) // nil for a net.Dialer
+	initOnce    sync.Once
+	pooled      *http.Transport // keeps idle connections
+	unpooled    *http.Transport // one connection for each request, which net/http never sends twice
+	budget      retryBudget
+	typical     typicalTimes
+	stopping    atomic.Bool
+	lastRequest atomic.Int64  // arrival of the newest request, in nanoseconds
+	stopStreams chan struct{} // closed when streams must end
+	endOnce     sync.Once
+	active      inflight.Counter
+	buffers     sync.Pool
+	keys        atomic.Pointer[config.Config] // customers of a version of the catalog, nil before the first key is checked
 }
 
-// dialTimeout bounds the time to connect to a target.
+// dialTimeout is the longest time to connect to a target.
 const dialTimeout = time.Second
 
 func (d *Dispatcher) init() {
-	d.start.Do(func() {
-		d.ended = make(chan struct{})
-		d.shared = newTransport(d.IdleConns, d.dial)
-		d.single = newTransport(0, d.dial)
-		d.single.DisableKeepAlives = true
+	d.initOnce.Do(func() {
+		d.stopStreams = make(chan struct{})
+		d.pooled = newTransport(d.IdleConns, d.dial)
+		d.unpooled = newTransport(0, d.dial)
+		d.unpooled.DisableKeepAlives = true
 		d.buffers.New = func() any { return new(buffer) }
 	})
 }
 
-// call is one caller's request on its way.
+// call is one request of a caller in progress.
 type call struct {
-	d        *Dispatcher
-	w        http.ResponseWriter
-	r        *http.Request
-	id       string
-	service  *manifest.Service
-	version  uint64 // of the configuration
-	path     string // at the target
-	class    manifest.Class
-	deadline time.Time
-	body     []byte // nil where it is streamed
-	key      string
-	begun    time.Time
-	attempts int     // that asked for a slot
-	failedOn string  // worker of the attempt before, empty for the first one
-	kept     *answer // newest server error that a target answered, nil for none
-	lost     error   // newest failure of an attempt that reached a target, nil for none
+	d                *Dispatcher
+	w                http.ResponseWriter
+	r                *http.Request
+	id               string
+	service          *manifest.Service
+	version          uint64 // of the configuration
+	path             string // at the target
+	class            manifest.Class
+	deadline         time.Time
+	body             []byte // nil if it is streamed
+	key              string
+	startedAt        time.Time
+	attempts         int     // that requested a slot
+	lastFailedWorker string  // worker of the previous attempt, empty for the first one
+	storedResult     *result // latest server error that a target returned, nil for none
+	unknownErr       error   // latest failure of an attempt that reached a target, nil for none
 }
 
-// Serve answers a request for a service at a path below it.
+// Serve handles a request for a service at a path below it.
 func (d *Dispatcher) Serve(w http.ResponseWriter, r *http.Request, service, path string) {
 	d.init()
 	d.Metrics.Requests.Inc(1)
-	begun := d.Clock.Now()
-	d.newest.Store(begun.UnixNano())
-	c := &call{d: d, w: w, r: r, path: path, id: r.Header.Get(HeaderRequestID), begun: begun}
+	startedAt := d.Clock.Now()
+	d.lastRequest.Store(startedAt.UnixNano())
+	c := &call{d: d, w: w, r: r, path: path, id: r.Header.Get(HeaderRequestID), startedAt: startedAt}
 	if c.id == "" {
 		c.id = rand.Text()
 	}
@@ -116,25 +116,25 @@
 	if err := c.serve(service); err != nil {
 		c.refuse(err)
 	}
-	d.Metrics.Latency.Update(d.Clock.Now().Sub(begun))
+	d.Metrics.Latency.Update(d.Clock.Now().Sub(startedAt))
 }
 
 func (c *call) serve(service string) error {
 	c.d.active.Begin()
 	defer c.d.active.End()
 	if c.d.stopping.Load() {
-		return errkind.New(errkind.Stopping, "this entry is stopping; another one takes the request")
+		return errkind.New(errkind.Stopping, "this entry is stopping; send the request to another one")
 	}
 	if err := c.parse(service); err != nil {
 		return err
 	}
 	if c.key != "" {
-		return c.serveOnce()
+		return c.serveKeyed()
 	}
-	return c.serveUsual()
+	return c.serveWithRetries()
 }
 
-// refuse answers with an error of the closed list.
+// refuse responds with an error of the closed list of kinds.
 func (c *call) refuse(err error) {
 	e := errkind.Of(err)
 	switch e.Kind.Response().Outcome {
@@ -147,20 +147,19 @@
 	errkind.Write(c.w, c.id, e)
 }
 
-// LastRequest returns when the newest request came, 1970 for never.
-func (d *Dispatcher) LastRequest() time.Time { return time.Unix(0, d.newest.Load()) }
+// LastRequest returns the arrival of the newest request, 1970 if there was none.
+func (d *Dispatcher) LastRequest() time.Time { return time.Unix(0, d.lastRequest.Load()) }
 
-// EndStreams ends the streams under way cleanly.
+// EndStreams ends the open streams cleanly.
 func (d *Dispatcher) EndStreams() {
 	d.init()
-	d.endOnce.Do(func() { close(d.ended) })
+	d.endOnce.Do(func() { close(d.stopStreams) })
 }
 
-// Stop refuses new requests, ends streams and returns once everything in
-// flight has its answer.
+// Stop rejects new requests, ends streams and waits until every request in flight has its response.
 func (d *Dispatcher) Stop() {
 	d.EndStreams()
 	d.stopping.Store(true)
 	d.active.Wait()
-	d.shared.CloseIdleConnections()
+	d.pooled.CloseIdleConnections()
 }
--- a/services/dispatch/faults_test.go
+++ b/services/dispatch/faults_test.go
@@ -43,8 +43,8 @@
 	Second     string `toml:"second"`
 	Timeout    string `toml:"timeout"`
 	Keyed      bool   `toml:"keyed"`
-	Repeat     bool   `toml:"repeat"` // send it again and judge that answer
-	Mended     bool   `toml:"mended"` // mend the targets and send it again
+	Repeat     bool   `toml:"repeat"` // send the request again and check that response
+	Mended     bool   `toml:"mended"` // repair the targets and send the request again
 	LogDown    bool   `toml:"log_down"`
 	BodyBytes  int    `toml:"body_bytes"`
 	Want       int    `toml:"want"`
@@ -54,27 +54,27 @@
 	Sends      int    `toml:"sends"`
 }
 
-// bench is one dispatcher with two targets and a log in memory.
-type bench struct {
+// testDispatcher is a dispatcher with two targets and an in-memory log.
+type testDispatcher struct {
 	d       *Dispatcher
 	server  *httptest.Server
 	targets [2]*standin.Target
 
-	mu    sync.Mutex
-	state state.State
-	seq   uint64
-	down  bool
+	mu      sync.Mutex
+	state   state.State
+	seq     uint64
+	logDown bool
 
-	closed map[string]bool // addresses that refuse connections; set between requests only
+	closed map[string]bool // addresses that refuse connections; changed only between requests
 
-	beforeLending func(slots.Exchange) // called before the lender takes an exchange, nil for nothing
+	beforeLending func(slots.Exchange) // called before the lender handles an exchange, nil for nothing
 }
 
 const entryName = "e1"
 
-func newBench(t *testing.T) *bench {
+func newTestDispatcher(t *testing.T) *testDispatcher {
 	t.Helper()
-	b := &bench{}
+	b := &testDispatcher{}
 	var addresses []string
 	for i := range b.targets {
 		b.targets[i] = &standin.Target{Name: fmt.Sprintf("w%d", i)}
@@ -95,8 +95,8 @@
 	return b
 }
 
-// declare puts a service on the log with targets at the addresses.
-func (b *bench) declare(addresses []string) {
+// declare appends a service with targets at the addresses to the log.
+func (b *testDispatcher) declare(addresses []string) {
 	b.put(record.Record{Join: &record.Join{}})
 	for i, address := range addresses {
 		b.put(record.Record{ListUpdate: &record.ListUpdate{Revision: uint64(i + 1), Workers: []fleet.Worker{{
@@ -114,34 +114,34 @@
 	}
 }
 
-func (b *bench) build(t *testing.T) {
+func (b *testDispatcher) build(t *testing.T) {
 	t.Helper()
 	lender := &slots.Lender{Name: entryName, Notify: func(string, slots.Notification) {}}
 	holder := &slots.Holder{Name: entryName, Cost: func(worker string, _ int) float64 { return float64(worker[1]) }}
-	links := &slots.Exchanger{Holder: holder, Incarnation: 1, Call: func(_ context.Context, _ string, x slots.Exchange) (slots.ExchangeResponse, error) {
+	exchanger := &slots.Exchanger{Holder: holder, Incarnation: 1, Call: func(_ context.Context, _ string, x slots.Exchange) (slots.ExchangeResponse, error) {
 		if b.beforeLending != nil {
 			b.beforeLending(x)
 		}
 		return lender.Exchange(x), nil
 	}}
-	holder.RequestExchange = links.RequestExchange
+	holder.RequestExchange = exchanger.RequestExchange
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go links.Run(ctx)
+	go exchanger.Run(ctx)
 	lender.Update(b.State())
 	holder.Update(b.State())
-	desk := &once.Service{Ledger: once.Proposer{Propose: b.propose, State: b.State}}
-	b.d = &Dispatcher{State: b.State, Holder: holder, Outliers: &outlier.Detector{}, Once: desk, Metrics: metrics.New(), MaxBody: 4000}
+	service := &once.Service{Ledger: once.Proposer{Propose: b.propose, State: b.State}}
+	b.d = &Dispatcher{State: b.State, Holder: holder, Outliers: &outlier.Detector{}, Once: service, Metrics: metrics.New(), MaxBody: 4000}
 }
 
 // State returns the folded state.
-func (b *bench) State() state.State {
+func (b *testDispatcher) State() state.State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state
 }
 
-func (b *bench) put(records ...record.Record) []state.Verdict {
+func (b *testDispatcher) put(records ...record.Record) []state.Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.seq++
@@ -154,15 +154,15 @@
 	return f.Verdicts
 }
 
-func (b *bench) propose(ctx context.Context, records []record.Record, _ func([]state.Verdict)) ([]state.Verdict, error) {
-	if b.down {
+func (b *testDispatcher) propose(ctx context.Context, records []record.Record, _ func([]state.Verdict)) ([]state.Verdict, error) {
+	if b.logDown {
 		<-ctx.Done()
 		return nil, errkind.New(errkind.LogUnavailable, "down")
 	}
 	return b.put(records...), nil
 }
 
-func (b *bench) setFaults(t *testing.T, target int, fault string) {
+func (b *testDispatcher) setFaults(t *testing.T, target int, fault string) {
 	t.Helper()
 	switch fault {
 	case "":
@@ -176,7 +176,7 @@
 	}
 }
 
-func (b *bench) send(t *testing.T, c faultCase, key string) (*http.Response, string) {
+func (b *testDispatcher) send(t *testing.T, c faultCase, key string) (*http.Response, string) {
 	t.Helper()
 	service := c.Service
 	if service == "" {
@@ -190,16 +190,16 @@
 	if c.Timeout != "" {
 		r.Header.Set(HeaderTimeout, c.Timeout)
 	}
-	answer, err := http.DefaultClient.Do(r)
+	response, err := http.DefaultClient.Do(r)
 	assert.NilError(t, err)
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
-	return answer, string(body)
+	return response, string(body)
 }
 
-// released waits until every keyed request has recorded its result.
-func (b *bench) released(key string) {
+// waitForResult waits until the keyed request has recorded its result.
+func (b *testDispatcher) waitForResult(key string) {
 	for {
 		c, taken := b.State().Claim(key)
 		if !taken || c.Ended {
@@ -219,30 +219,30 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(md.Undecoded()), 0, "%v", md.Undecoded())
 	for _, c := range cases.Case {
-		t.Run(c.Name, func(t *testing.T) { newBench(t).runCase(t, c) })
+		t.Run(c.Name, func(t *testing.T) { newTestDispatcher(t).runCase(t, c) })
 	}
 }
 
-func (b *bench) runCase(t *testing.T, c faultCase) {
+func (b *testDispatcher) runCase(t *testing.T, c faultCase) {
 	b.setFaults(t, 0, c.First)
 	b.setFaults(t, 1, c.Second)
-	b.down = c.LogDown
+	b.logDown = c.LogDown
 	key := ""
 	if c.Keyed {
 		key = oncekey.New(time.Now().Add(time.Hour))
 	}
-	answer, body := b.send(t, c, key)
+	response, body := b.send(t, c, key)
 	if c.Repeat || c.Mended {
-		b.released(key)
+		b.waitForResult(key)
 		if c.Mended {
 			clear(b.closed)
 		}
-		answer, body = b.send(t, c, key)
+		response, body = b.send(t, c, key)
 	}
-	assert.Equal(t, answer.StatusCode, c.Want, body)
-	assert.Equal(t, answer.Header.Get(errkind.HeaderOutcome), c.Outcome)
-	assert.Equal(t, answer.Header.Get(errkind.HeaderKind), c.Kind)
-	assert.Equal(t, answer.Header.Get("Retry-After") != "", c.RetryAfter)
+	assert.Equal(t, response.StatusCode, c.Want, body)
+	assert.Equal(t, response.Header.Get(errkind.HeaderOutcome), c.Outcome)
+	assert.Equal(t, response.Header.Get(errkind.HeaderKind), c.Kind)
+	assert.Equal(t, response.Header.Get("Retry-After") != "", c.RetryAfter)
 	if c.Want == http.StatusOK {
 		assert.Assert(t, strings.Contains(body, "id="), body)
 	}
@@ -253,31 +253,30 @@
 	assert.Equal(t, sends, c.Sends)
 }
 
-// TestRepeatWaitsForTheSecondTargetsSlot: the second target's slot is lent only
-// once the slot of the first one, on which the request failed, has rested and
-// is free again.
-func TestRepeatWaitsForTheSecondTargetsSlot(t *testing.T) {
-	b := newBench(t)
+// TestRetryWaitsForSecondTarget checks that a retry goes to the second target even if that target's
+// slot is lent only after the slot of the first one, on which the request failed, is free again.
+func TestRetryWaitsForSecondTarget(t *testing.T) {
+	b := newTestDispatcher(t)
 	b.setFaults(t, 0, "cut")
 	b.beforeLending = func(slots.Exchange) {
 		for b.targets[0].Stats().Requests == 1 && b.inUse("w0") > 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	answer, body := b.send(t, faultCase{Method: http.MethodGet}, "")
-	assert.Equal(t, answer.StatusCode, http.StatusOK, body)
-	assert.Equal(t, b.targets[0].Stats().Requests, 1, "sent again to the target that has just failed")
+	response, body := b.send(t, faultCase{Method: http.MethodGet}, "")
+	assert.Equal(t, response.StatusCode, http.StatusOK, body)
+	assert.Equal(t, b.targets[0].Stats().Requests, 1, "retried on the target that has just failed")
 	assert.Equal(t, b.targets[1].Stats().Requests, 1)
 }
 
-// TestNotRunIsNeverSaidOnceATargetHadTheRequest: a repeat that gets no slot is
-// refused, but the attempt before has reached a target.
-func TestNotRunIsNeverSaidOnceATargetHadTheRequest(t *testing.T) {
+// TestNotRunIsNotReportedAfterATargetGotTheRequest checks that a request whose retry gets no slot
+// is not reported as not run, since the previous attempt has reached a target.
+func TestNotRunIsNotReportedAfterATargetGotTheRequest(t *testing.T) {
 	for _, c := range []faultCase{
 		{First: "cut", Want: http.StatusGatewayTimeout, Outcome: string(errkind.Unknown)},
 		{First: "fail", Want: http.StatusInternalServerError, Outcome: string(errkind.Ran)},
 	} {
-		b := newBench(t)
+		b := newTestDispatcher(t)
 		b.setFaults(t, 0, c.First)
 		b.beforeLending = func(slots.Exchange) {
 			if b.targets[0].Stats().Requests > 0 {
@@ -285,15 +284,15 @@
 			}
 		}
 		c.Method, c.Timeout = http.MethodGet, "300ms"
-		answer, body := b.send(t, c, "")
+		response, body := b.send(t, c, "")
 		assert.Equal(t, b.targets[0].Stats().Requests, 1)
-		assert.Equal(t, answer.Header.Get(errkind.HeaderOutcome), c.Outcome, "%s: %s", c.First, body)
-		assert.Equal(t, answer.StatusCode, c.Want, "%s: %s", c.First, body)
+		assert.Equal(t, response.Header.Get(errkind.HeaderOutcome), c.Outcome, "%s: %s", c.First, body)
+		assert.Equal(t, response.StatusCode, c.Want, "%s: %s", c.First, body)
 	}
 }
 
-// inUse returns how many slots of a worker are in use.
-func (b *bench) inUse(worker string) int {
+// inUse returns the number of slots of a worker that are in use.
+func (b *testDispatcher) inUse(worker string) int {
 	held, _ := b.d.Holder.Dump()
 	for _, h := range held {
 		if h.Worker == worker {
@@ -303,37 +302,37 @@
 	return 0
 }
 
-// refusing is an address at which nobody listens. The port of a target that was
-// closed may be taken by another process at once; that of the multiplexer of old
-// is not dealt out.
-const refusing = "127.0.0.1:1"
+// refusingAddress is an address without a listener. The port of a closed target may be assigned to
+// another process immediately; the port of the tcpmux service is not assigned.
+const refusingAddress = "127.0.0.1:1"
 
-// dial connects to a target, or has the kernel refuse it in place of a closed
-// one.
-func (b *bench) dial(ctx context.Context, network, address string) (net.Conn, error) {
+// dial connects to a target; for a closed one it connects to an address at which the kernel refuses
+// the connection.
+func (b *testDispatcher) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if b.closed[address] {
-		address = refusing
+		address = refusingAddress
 	}
 	return (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, address)
 }
 
-// address returns where a target listens.
-func (b *bench) address(target int) string {
+// address returns the address at which a target listens.
+func (b *testDispatcher) address(target int) string {
 	instance, _ := b.State().Instances.Get(fmt.Sprintf("w%d", target))
 	return instance.Worker.Address
 }
 
-// TestLongAnswerThatBreaksOff: a part must not look like the whole.
-func TestLongAnswerThatBreaksOff(t *testing.T) {
-	b := newBench(t)
-	answer, err := http.Get(b.server.URL + "/svc/x?stream=100000")
+// TestTruncatedResponseIsNotComplete checks that the caller gets an error if the target truncates a
+// long response.
+func TestTruncatedResponseIsNotComplete(t *testing.T) {
+	b := newTestDispatcher(t)
+	response, err := http.Get(b.server.URL + "/svc/x?stream=100000")
 	assert.NilError(t, err)
-	defer answer.Body.Close()
-	_, err = io.ReadFull(answer.Body, make([]byte, 10))
+	defer response.Body.Close()
+	_, err = io.ReadFull(response.Body, make([]byte, 10))
 	assert.NilError(t, err)
 	for _, target := range b.targets {
 		_ = target.Close()
 	}
-	_, err = io.Copy(io.Discard, answer.Body)
-	assert.Assert(t, err != nil, "the answer broke off and the caller was not told")
+	_, err = io.Copy(io.Discard, response.Body)
+	assert.Assert(t, err != nil, "the response was truncated and the caller got no error")
 }
--- a/services/dispatch/keyed.go
+++ b/services/dispatch/keyed.go
@@ -12,11 +12,11 @@
 	"github.com/yardbridge/yardbridge/services/once"
 )
 
-// serveOnce claims the key on the log, dispatches at most once, and records
-// how that ended.
-func (c *call) serveOnce() error {
+// serveKeyed claims the key on the log, dispatches the request at most once, and records its
+// outcome.
+func (c *call) serveKeyed() error {
 	c.d.Metrics.Keyed.Inc(1)
-	// The claim may take as long as the request, and no longer.
+	// The claim must complete within the deadline of the request.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(c.r.Context()), c.deadline)
 	defer cancel()
 	claimed, reply, err := c.d.Once.Claim(ctx, c.key, once.Fingerprint(c.r.Method, c.path, c.body))
@@ -27,54 +27,54 @@
 		}
 		return err
 	}
-	a, err := c.attempt(c.d.single)
+	a, err := c.attempt(c.d.unpooled)
 	result := record.Result{Key: c.key, Claim: claimed.Offset}
 	if err != nil {
 		result.NotRun = errkind.Of(err).Kind.Response().Outcome == errkind.NotRun
-		c.finish(result)
+		c.recordResult(result)
 		return err
 	}
 	result.Reply = replyOf(a)
-	c.finish(result)
+	c.recordResult(result)
 	return c.relay(a)
 }
 
-// finish records the result beside the answer: the caller need not wait, since
-// a repeat is refused until the result is there.
-func (c *call) finish(r record.Result) {
+// recordResult records the result concurrently with the response: the caller need not wait, since a
+// repeated request is refused until the result is recorded.
+func (c *call) recordResult(r record.Result) {
 	c.d.active.Begin()
-	go finisher{c.d, r}.run()
+	go resultRecorder{c.d, r}.run()
 }
 
-// finisher records one result.
-type finisher struct {
+// resultRecorder records one result.
+type resultRecorder struct {
 	d      *Dispatcher
 	result record.Result
 }
 
-func (f finisher) run() {
+func (f resultRecorder) run() {
 	defer f.d.active.End()
 	f.d.Once.Finish(f.result)
 }
 
-// replyOf returns what is kept of an answer for repeats.
-func replyOf(a *answer) *record.Reply {
+// replyOf returns the part of a response that is stored for repeated requests.
+func replyOf(a *result) *record.Reply {
 	reply := &record.Reply{
 		Status:      a.response.StatusCode,
 		ContentType: a.response.Header.Get("Content-Type"),
 	}
-	if a.whole == nil || a.whole.Len() > state.MaxReplyBytes {
+	if a.body == nil || a.body.Len() > state.MaxReplyBytes {
 		reply.Omitted = true
 		return reply
 	}
-	reply.Body = append([]byte(nil), a.whole.Bytes()...)
+	reply.Body = append([]byte(nil), a.body.Bytes()...)
 	return reply
 }
 
-// HeaderReplayed marks the kept answer of an earlier request with the key.
+// HeaderReplayed marks the stored response of an earlier request with the key.
 const HeaderReplayed = "Yardbridge-Replayed"
 
-// replay answers a repeat with the first answer.
+// replay responds to a repeated request with the stored response.
 func (c *call) replay(r *record.Reply) {
 	header := c.w.Header()
 	if r.ContentType != "" {
@@ -83,6 +83,6 @@
 	header.Set(HeaderReplayed, "true")
 	header.Set(errkind.HeaderOutcome, string(errkind.Ran))
 	c.w.WriteHeader(r.Status)
-	// A caller that has gone away needs no answer.
+	// The error of a caller that has disconnected is ignored.
 	_, _ = c.w.Write(r.Body)
 }
--- a/services/dispatch/late_test.go
+++ b/services/dispatch/late_test.go
@@ -22,24 +22,24 @@
 	"github.com/yardbridge/yardbridge/services/slots"
 )
 
-// lateCase is one target's answer by the time at which its parts come.
-type lateCase struct {
-	first  string        // comes before the deadline
-	rest   string        // comes a little after it, empty for never
-	heldUp time.Duration // how long this process gets no processor from the deadline on
-	want   int
-	took   time.Duration
+// lateResponse is a target's response, with the times at which its parts arrive.
+type lateResponse struct {
+	first     string        // arrives before the deadline
+	remainder string        // arrives a little after the deadline, empty for never
+	suspended time.Duration // how long this process is suspended from the deadline on
+	want      int
+	took      time.Duration
 }
 
-// The times of lateCase.
+// Times of lateResponse.
 const (
 	lateTimeout = 300 * time.Millisecond
 	lateFirst   = 50 * time.Millisecond
 	lateRest    = lateTimeout + 100*time.Millisecond
 )
 
-// answerParts takes one request and answers it in the parts of the case.
-func (c lateCase) answerParts(conn net.Conn) {
+// respondInParts reads one request and sends the parts of the response.
+func (c lateResponse) respondInParts(conn net.Conn) {
 	defer conn.Close()
 	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 		return
@@ -47,53 +47,52 @@
 	time.Sleep(lateFirst)
 	writePart(conn, c.first)
 	time.Sleep(lateRest - lateFirst)
-	writePart(conn, c.rest)
-	if c.rest == "" {
+	writePart(conn, c.remainder)
+	if c.remainder == "" {
 		time.Sleep(time.Minute) // the connection stays open
 	}
 }
 
-// writePart writes nothing for nothing, which a pipe would hand over.
+// writePart writes a part unless it is empty, since a pipe would pass on an empty write.
 func writePart(conn net.Conn, part string) {
 	if part != "" {
-		// A connection that the other end has closed takes nothing.
+		// The error of a connection that the other end has closed is ignored.
 		_, _ = io.WriteString(conn, part)
 	}
 }
 
-// TestAnswerOnItsWayAtTheDeadline: an answer that has begun, or that may have
-// come while this process was held up, is not thrown away for an unknown
-// outcome.
-func TestAnswerOnItsWayAtTheDeadline(t *testing.T) {
+// TestResponseInTransitAtDeadline checks that a response which has begun at the deadline, or which
+// may have arrived while this process was suspended, is not discarded with an unknown outcome.
+func TestResponseInTransitAtDeadline(t *testing.T) {
 	const (
 		head = "HTTP/1.1 200 OK\r\n"
 		rest = "Content-Length: 5\r\n\r\nwhole"
 	)
-	metrics.New() // the library's goroutine for all meters must not be of a bubble
-	for name, c := range map[string]lateCase{
-		"in time":                      {first: head + rest, want: http.StatusOK, took: lateFirst},
-		"its headers have begun":       {first: head, rest: rest, want: http.StatusOK, took: lateRest},
-		"its body has begun":           {first: head + rest[:len(rest)-2], rest: rest[len(rest)-2:], want: http.StatusOK, took: lateRest},
-		"this process was held up":     {rest: head + rest, heldUp: 3 * time.Second, want: http.StatusOK, took: lateRest},
-		"nothing has come":             {rest: head + rest, want: http.StatusGatewayTimeout, took: lateTimeout},
-		"it has begun and never ends":  {first: head, want: http.StatusGatewayTimeout, took: lateTimeout + lateGrace},
-		"held up, and nothing comes":   {heldUp: 3 * time.Second, want: http.StatusGatewayTimeout, took: lateTimeout + lateGrace},
-		"held up for a moment is none": {rest: head + rest, heldUp: lateNotice - 1, want: http.StatusGatewayTimeout, took: lateTimeout},
+	metrics.New() // the goroutine of the metrics library must not belong to the synctest bubble
+	for name, c := range map[string]lateResponse{
+		"in time":                           {first: head + rest, want: http.StatusOK, took: lateFirst},
+		"its headers have begun":            {first: head, remainder: rest, want: http.StatusOK, took: lateRest},
+		"its body has begun":                {first: head + rest[:len(rest)-2], remainder: rest[len(rest)-2:], want: http.StatusOK, took: lateRest},
+		"this process was suspended":        {remainder: head + rest, suspended: 3 * time.Second, want: http.StatusOK, took: lateRest},
+		"nothing has arrived":               {remainder: head + rest, want: http.StatusGatewayTimeout, took: lateTimeout},
+		"it has begun and never ends":       {first: head, want: http.StatusGatewayTimeout, took: lateTimeout + lateGrace},
+		"suspended, and nothing arrives":    {suspended: 3 * time.Second, want: http.StatusGatewayTimeout, took: lateTimeout + lateGrace},
+		"a short suspension does not count": {remainder: head + rest, suspended: maxTimerDelay - 1, want: http.StatusGatewayTimeout, took: lateTimeout},
 	} {
-		synctest.Test(t, func(t *testing.T) { c.play(t, name) })
+		synctest.Test(t, func(t *testing.T) { c.run(t, name) })
 	}
 }
 
-func (c lateCase) play(t *testing.T, name string) {
-	b := lateBench()
+func (c lateResponse) run(t *testing.T, name string) {
+	b := newBubbleDispatcher()
 	b.build(t)
-	begun := time.Now()
+	startedAt := time.Now()
 	b.d.Clock = clock.Clock{NowFunc: func() time.Time {
 		now := time.Now()
-		if now.Sub(begun) < lateTimeout {
+		if now.Sub(startedAt) < lateTimeout {
 			return now
 		}
-		return now.Add(c.heldUp)
+		return now.Add(c.suspended)
 	}}
 	w, took := b.serveLate(t, c)
 	assert.Equal(t, w.Code, c.want, "%s: %s", name, w.Body.String())
@@ -103,63 +102,63 @@
 	}
 }
 
-// lateBench returns a bench without listeners, to be built in a bubble.
-func lateBench() *bench {
-	b := &bench{}
+// newBubbleDispatcher returns a testDispatcher without listeners, to be built in a synctest bubble.
+func newBubbleDispatcher() *testDispatcher {
+	b := &testDispatcher{}
 	b.declare([]string{"192.0.2.1:1", "192.0.2.2:1"})
 	return b
 }
 
-// serveLate has a request served by targets that answer as the case says.
-func (b *bench) serveLate(t *testing.T, c lateCase) (w *httptest.ResponseRecorder, took time.Duration) {
+// serveLate serves a request with targets that respond as in the case.
+func (b *testDispatcher) serveLate(t *testing.T, c lateResponse) (w *httptest.ResponseRecorder, took time.Duration) {
 	t.Helper()
 	b.d.dial = func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
-		go c.answerParts(far)
+		go c.respondInParts(far)
 		return near, nil
 	}
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/x", nil)
 	r.Header.Set(HeaderTimeout, lateTimeout.String())
 	w = httptest.NewRecorder()
-	begun := time.Now()
+	startedAt := time.Now()
 	b.d.Serve(w, r, "svc", "/x")
-	took = time.Since(begun)
+	took = time.Since(startedAt)
 	b.d.Stop()
-	time.Sleep(2 * time.Minute) // of the bubble, in which the target's end comes
+	time.Sleep(2 * time.Minute) // in the bubble, until the target's goroutines have ended
 	return w, took
 }
 
-// slotCase is a slot that is lent some time after a request asked for it.
+// slotCase is a slot that is lent some time after a request for it.
 type slotCase struct {
-	usual time.Duration // time in a slot
-	lent  time.Duration
-	want  int
-	took  time.Duration
+	typical time.Duration // typical time in a slot
+	lent    time.Duration
+	want    int
+	took    time.Duration
 }
 
-// TestSlotThatComesTooLateIsNotUsed: a request that can't be answered in time
-// any more is refused, truly, and not sent for an unknown outcome.
-func TestSlotThatComesTooLateIsNotUsed(t *testing.T) {
-	metrics.New() // the library's goroutine for all meters must not be of a bubble
+// TestLateSlotIsNotUsed checks that a request which can no longer get a response in time is refused
+// as not run, and is not sent with an unknown outcome.
+func TestLateSlotIsNotUsed(t *testing.T) {
+	metrics.New() // the goroutine of the metrics library must not belong to the synctest bubble
 	for name, c := range map[string]slotCase{
-		"in time":                     {usual: 100 * time.Millisecond, lent: 200 * time.Millisecond, want: http.StatusOK, took: 200*time.Millisecond + lateFirst},
-		"nearly at the deadline":      {usual: 100 * time.Millisecond, lent: lateTimeout - 3*time.Millisecond, want: http.StatusServiceUnavailable, took: lateTimeout - 25*time.Millisecond},
-		"a part of the usual is left": {usual: 200 * time.Millisecond, lent: lateTimeout - 40*time.Millisecond, want: http.StatusServiceUnavailable, took: lateTimeout - 50*time.Millisecond},
-		"asked for less than usual":   {usual: time.Minute, lent: lateTimeout / 3, want: http.StatusOK, took: lateTimeout/3 + lateFirst},
-		"waited for half of so much":  {usual: time.Minute, lent: lateTimeout - 3*time.Millisecond, want: http.StatusServiceUnavailable, took: lateTimeout / 2},
+		"in time":                              {typical: 100 * time.Millisecond, lent: 200 * time.Millisecond, want: http.StatusOK, took: 200*time.Millisecond + lateFirst},
+		"nearly at the deadline":               {typical: 100 * time.Millisecond, lent: lateTimeout - 3*time.Millisecond, want: http.StatusServiceUnavailable, took: lateTimeout - 25*time.Millisecond},
+		"a part of the typical time is left":   {typical: 200 * time.Millisecond, lent: lateTimeout - 40*time.Millisecond, want: http.StatusServiceUnavailable, took: lateTimeout - 50*time.Millisecond},
+		"less than the typical time requested": {typical: time.Minute, lent: lateTimeout / 3, want: http.StatusOK, took: lateTimeout/3 + lateFirst},
+		"half of the time was spent waiting":   {typical: time.Minute, lent: lateTimeout - 3*time.Millisecond, want: http.StatusServiceUnavailable, took: lateTimeout / 2},
 	} {
-		synctest.Test(t, func(t *testing.T) { c.play(t, name) })
+		synctest.Test(t, func(t *testing.T) { c.run(t, name) })
 	}
 }
 
-func (c slotCase) play(t *testing.T, name string) {
-	answer := lateCase{first: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole"}
-	b := lateBench()
-	begun := time.Now()
-	b.beforeLending = func(slots.Exchange) { time.Sleep(c.lent - time.Since(begun)) }
+func (c slotCase) run(t *testing.T, name string) {
+	response := lateResponse{first: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole"}
+	b := newBubbleDispatcher()
+	startedAt := time.Now()
+	b.beforeLending = func(slots.Exchange) { time.Sleep(c.lent - time.Since(startedAt)) }
 	b.build(t)
-	b.d.usual.add("p", c.usual)
-	w, took := b.serveLate(t, answer)
+	b.d.typical.add("p", c.typical)
+	w, took := b.serveLate(t, response)
 	assert.Equal(t, w.Code, c.want, "%s: %s", name, w.Body.String())
 	assert.Equal(t, took, c.took, name)
 	if c.want != http.StatusOK {
--- a/services/dispatch/parse.go
+++ b/services/dispatch/parse.go
@@ -13,13 +13,13 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// Bounds of what is kept of a request in memory.
+// Limits of the request bodies kept in memory.
 const (
-	keepBody     = 64 << 10 // so that it can be sent again
-	maxKeyedBody = 1 << 20
+	maxRetriedBody = 64 << 10 // kept to be sent again
+	maxKeyedBody   = 1 << 20
 )
 
-// parse reads what the request asks for.
+// parse reads the service, the key, the times and the body of the request.
 func (c *call) parse(service string) error {
 	catalog := c.d.State().Catalog
 	c.version = catalog.Version
@@ -27,7 +27,7 @@
 	if c.service == nil {
 		return errkind.New(errkind.NotFound, "service %q is not declared", service)
 	}
-	if err := c.admit(catalog); err != nil {
+	if err := c.checkCustomerKey(catalog); err != nil {
 		return err
 	}
 	if err := c.parseTimes(); err != nil {
@@ -46,11 +46,11 @@
 	if text := c.r.Header.Get(HeaderTimeout); text != "" {
 		asked, err := time.ParseDuration(text)
 		if err != nil || asked <= 0 {
-			return errkind.New(errkind.BadRequest, "%s: %q is no time span; allowed is one such as 500ms", HeaderTimeout, text)
+			return errkind.New(errkind.BadRequest, "%s: %q is not a duration; an example is 500ms", HeaderTimeout, text)
 		}
 		limit = min(limit, asked)
 	}
-	c.deadline = c.begun.Add(limit)
+	c.deadline = c.startedAt.Add(limit)
 	c.class = c.service.Class
 	switch class := manifest.Class(c.r.Header.Get(HeaderClass)); class {
 	case "":
@@ -62,14 +62,14 @@
 	return nil
 }
 
-// readBody keeps a small body, so that the request can be sent again, and all
-// of a keyed one, whose fingerprint is needed.
+// readBody reads a small body, so that the request can be retried, and the complete body of a keyed
+// request, which is needed for its fingerprint.
 func (c *call) readBody() error {
 	if c.r.ContentLength == 0 {
 		c.body = []byte{}
 		return nil
 	}
-	if c.key == "" && (c.r.ContentLength < 0 || c.r.ContentLength > keepBody) {
+	if c.key == "" && (c.r.ContentLength < 0 || c.r.ContentLength > maxRetriedBody) {
 		return nil
 	}
 	if c.r.ContentLength > maxKeyedBody {
@@ -86,11 +86,11 @@
 	return nil
 }
 
-// bodyError says why a request's body could not be read.
+// bodyError returns the error for a request body that could not be read.
 func bodyError(err error) error {
 	var large *http.MaxBytesError
 	if stderrors.As(err, &large) {
 		return errkind.New(errkind.TooLarge, "the body has more than %d bytes", large.Limit)
 	}
-	return errkind.New(errkind.SlowRequest, "the body of the request did not come: %v", err)
+	return errkind.New(errkind.SlowRequest, "the body of the request was not received: %v", err)
 }
--- a/services/dispatch/stream.go
+++ b/services/dispatch/stream.go
@@ -11,29 +11,29 @@
 	"time"
 )
 
-// streamCheck is how often a stream looks whether it must end.
-const streamCheck = 100 * time.Millisecond
+// streamCheckPeriod is how often a stream checks whether it must end.
+const streamCheckPeriod = 100 * time.Millisecond
 
-// pieceOf is a piece of a stream, or its end.
-type pieceOf struct {
+// streamChunk is a chunk of a stream, or its end.
+type streamChunk struct {
 	data []byte
 	err  error
 }
 
-// streamReader reads a stream piece by piece.
+// streamReader reads a stream chunk by chunk.
 type streamReader struct {
-	a      *answer
-	pieces chan pieceOf
+	a      *result
+	chunks chan streamChunk
 	quit   chan struct{}
 }
 
 func (s *streamReader) run() {
-	defer close(s.pieces)
+	defer close(s.chunks)
 	for {
-		data := make([]byte, copyBytes)
+		data := make([]byte, chunkBytes)
 		n, err := s.a.response.Body.Read(data)
 		select {
-		case s.pieces <- pieceOf{data[:n], err}:
+		case s.chunks <- streamChunk{data[:n], err}:
 		case <-s.quit:
 			return
 		}
@@ -43,40 +43,39 @@
 	}
 }
 
-// relayStream passes a feed on until it ends, the caller goes away, the entry
-// stops or the target is drained. In the last two cases it is ended cleanly,
-// after a whole line and with a trailer that says why, for the caller to ask
-// again elsewhere.
-func (c *call) relayStream(a *answer) {
+// relayStream passes a stream on until it ends, the caller disconnects, the entry stops or the
+// target is drained. In the last two cases it is ended cleanly, after a complete line and with a
+// trailer that gives the reason, so that the caller can request it again elsewhere.
+func (c *call) relayStream(a *result) {
 	c.w.Header().Set("Trailer", HeaderEnded)
 	c.w.Header().Del("Content-Length")
 	c.w.WriteHeader(a.response.StatusCode)
-	reader := &streamReader{a: a, pieces: make(chan pieceOf), quit: make(chan struct{})}
+	reader := &streamReader{a: a, chunks: make(chan streamChunk), quit: make(chan struct{})}
 	go reader.run()
-	broken := c.pump(a, reader)
+	broken := c.relayLines(a, reader)
 	close(reader.quit)
-	// The connection to the target ends, and with it the target's work.
+	// Closing the connection to the target ends the target's work.
 	a.cancel()
 	_ = a.response.Body.Close()
-	c.judge(a, nil)
+	c.recordOutcome(a, nil)
 	a.slot.Release()
 	if broken {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// pump passes pieces on and reports whether the stream broke off.
-func (c *call) pump(a *answer, reader *streamReader) (broken bool) {
-	var partial []byte // what follows the last whole line
+// relayLines passes complete lines on and reports whether the stream was truncated.
+func (c *call) relayLines(a *result, reader *streamReader) (broken bool) {
+	var partial []byte // what follows the last complete line
 	for {
 		select {
-		case p, ok := <-reader.pieces:
+		case p, ok := <-reader.chunks:
 			if !ok {
 				return false
 			}
 			cut := bytes.LastIndexByte(p.data, '\n') + 1
 			line := append(partial, p.data[:cut]...)
-			if cut == 0 && len(partial)+len(p.data) < copyBytes {
+			if cut == 0 && len(partial)+len(p.data) < chunkBytes {
 				line, partial = nil, append(partial, p.data...)
 			} else {
 				partial = append([]byte(nil), p.data[cut:]...)
@@ -84,15 +83,15 @@
 			if p.err != nil {
 				return !c.endStream(append(line, partial...), p.err)
 			}
-			if !c.writePiece(line) {
+			if !c.writeChunk(line) {
 				return false
 			}
-		case <-c.d.ended:
+		case <-c.d.stopStreams:
 			c.w.Header().Set(HeaderEnded, "stopping")
 			return false
 		case <-c.r.Context().Done():
 			return false
-		case <-c.d.Clock.After(streamCheck):
+		case <-c.d.Clock.After(streamCheckPeriod):
 			if !a.slot.Usable() {
 				c.w.Header().Set(HeaderEnded, "draining")
 				return false
@@ -101,14 +100,13 @@
 	}
 }
 
-// endStream writes the last piece and reports whether the target's stream
-// came to its own end.
+// endStream writes the last chunk and reports whether the target ended the stream itself.
 func (c *call) endStream(last []byte, err error) bool {
-	c.writePiece(last)
+	c.writeChunk(last)
 	return stderrors.Is(err, io.EOF)
 }
 
-func (c *call) writePiece(data []byte) bool {
+func (c *call) writeChunk(data []byte) bool {
 	if len(data) == 0 {
 		return true
 	}
--- a/services/dispatch/transport.go
+++ b/services/dispatch/transport.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// idleLife is how long an idle connection is kept; it is short, so that none
-// is left to a target that has gone.
-const idleLife = 5 * time.Second
+// idleConnTimeout is how long an idle connection is kept. It is short, so that no connection is
+// kept for long to a target that is gone.
+const idleConnTimeout = 5 * time.Second
 
 func newTransport(idle int, dial func(ctx context.Context, network, address string) (net.Conn, error)) *http.Transport {
 	if dial == nil {
@@ -22,13 +22,13 @@
 	return &http.Transport{
 		DialContext:           dial,
 		MaxIdleConnsPerHost:   max(idle, 1),
-		IdleConnTimeout:       idleLife,
+		IdleConnTimeout:       idleConnTimeout,
 		DisableCompression:    true,
 		ResponseHeaderTimeout: 0, // each request has its own deadline
 	}
 }
 
-// hopHeaders belong to one connection and are not passed on.
+// hopHeaders are the headers of one connection, which are not passed on.
 var hopHeaders = map[string]bool{
 	"Connection":          true,
 	"Proxy-Connection":    true,
@@ -41,8 +41,7 @@
 	"Upgrade":             true,
 }
 
-// copyHeaders passes on the headers that belong to the message; the values
-// are shared, not copied.
+// copyHeaders copies the headers that belong to the message; the values are shared.
 func copyHeaders(to, from http.Header) {
 	named := connectionHeaders(from)
 	for k, v := range from {
@@ -53,7 +52,7 @@
 	}
 }
 
-// connectionHeaders returns the headers that Connection names, nil for none.
+// connectionHeaders returns the headers that Connection names, nil if it names none.
 func connectionHeaders(h http.Header) map[string]bool {
 	values := h["Connection"]
 	if len(values) == 0 {
