--- a/services/gateway/admit.go
+++ b/services/gateway/admit.go
@@ -8,12 +8,12 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// Authenticate returns the customer on whose behalf a call to a queue comes, "" for none, from the
-// secret that it bears, if it bears one. A queue that does not take anyone takes calls with
-// a key of the configuration only; the others are errors of the kind Unauthorized.
-func (g *Gateway) Authenticate(c *config.Config, q *config.Queue, secret string, bears bool) (string, error) {
+// Authenticate returns the customer on whose behalf a call to a queue is made, "" for none, from
+// the secret of the call, if it has one. A queue that is not open to anyone accepts only calls with
+// a key of the configuration; other calls get an error of the kind Unauthorized.
+func (g *Gateway) Authenticate(c *config.Config, q *config.Queue, secret string, hasSecret bool) (string, error) {
 	var holder *config.Customer
-	if bears {
+	if hasSecret {
 		holder = c.CustomerByKey(secret)
 	}
 	switch {
@@ -21,10 +21,10 @@
 		return holder.Name, nil
 	case q.AllowAnonymous:
 		return "", nil
-	case !bears:
-		return "", errkind.New(errkind.Unauthorized, "queue %s takes calls with a customer's key only; the Authorization header must be: Bearer KEY", q.Name)
+	case !hasSecret:
+		return "", errkind.New(errkind.Unauthorized, "queue %s accepts calls with a customer's key only; the Authorization header must be: Bearer KEY", q.Name)
 	}
 	g.Logger.Info().Str("event", "key").Str("queue", q.Key()).Uint64("config", c.Version).Str("outcome", "unknown").
-		Msg("a call bears a key that no customer holds")
+		Msg("call with a key that belongs to no customer")
 	return "", errkind.New(errkind.Unauthorized, "the key is not known by version %d of the configuration", c.Version)
 }
--- a/services/gateway/gateway.go
+++ b/services/gateway/gateway.go
@@ -16,38 +16,37 @@
 	"github.com/yardbridge/yardbridge/services/directory"
 )
 
-// PoolHandler takes calls about the jobs of one pool, on this node or on another. Each comes
-// on behalf of a customer, "" for none; a job of another one is an error of the kind
-// Forbidden.
+// PoolHandler handles calls about the jobs of one pool, on this node or on another. Each call is
+// made on behalf of a customer, "" for none; a call about another customer's job gets an error of
+// the kind Forbidden.
 type PoolHandler struct {
 	Submit  func(ctx context.Context, s job.Submission) error
-	State   func(ctx context.Context, id job.ID, by string) (job.State, error)
-	Cancel  func(ctx context.Context, id job.ID, by string) error
+	State   func(ctx context.Context, id job.ID, customer string) (job.State, error)
+	Cancel  func(ctx context.Context, id job.ID, customer string) error
 	Pending func(ctx context.Context, queue string) (int, error)
 }
 
-// Gateway finds the owner of a pool; its fields are set before it is used.
+// Gateway routes calls to the owner of a pool; its fields are set before it is used.
 type Gateway struct {
 	Directory *directory.Directory
 	Clock     clock.Clock
 	Logger    log.Logger
-	// Local returns the desk of a pool that this node owns, nil for none.
+	// Local returns the handler of a pool that this node owns, nil for none.
 	Local func(pool string) *PoolHandler
-	// OnOutdated is told of a node that does not own a pool any more though the directory says
-	// so; nil tells nobody.
+	// OnOutdated is called with a node that no longer owns a pool although the directory lists it
+	// as the owner; it may be nil.
 	OnOutdated func(n directory.Node)
-	// Remote returns the desk of a pool at another node.
+	// Remote returns the handler of a pool at another node.
 	Remote func(n directory.Node, pool string) *PoolHandler
 
 	newest atomic.Pointer[config.Config]
-	moves  moves
+	moves  poolMoves
 }
 
 // Config returns the newest configuration, nil before the first.
 func (g *Gateway) Config() *config.Config { return g.newest.Load() }
 
-// ApplyConfig takes over a configuration unless a newer one is known, and returns
-// whether it did.
+// ApplyConfig applies a configuration unless a newer one is known, and returns whether it did.
 func (g *Gateway) ApplyConfig(c *config.Config) bool {
 	for {
 		known := g.newest.Load()
@@ -55,94 +54,92 @@
 			return false
 		}
 		if g.newest.CompareAndSwap(known, c) {
-			g.moves.note(known, c, g.Clock.Now())
+			g.moves.record(known, c, g.Clock.Now())
 			return true
 		}
 	}
 }
 
-// The patience of the gateway with owners.
+// How long the gateway waits for owners.
 const (
-	// ownerless is how long a call waits for a pool to have an owner that can be
-	// reached. Taking over takes about a second; a caller that is refused
-	// comes back no sooner.
-	ownerless = 1500 * time.Millisecond
-	// retryPause is the pause before a call that did not reach an owner is made
-	// again.
+	// ownerWait is how long a call waits for a pool to have an owner that can be reached. A
+	// takeover takes about a second, and a caller that is refused does not retry sooner.
+	ownerWait = 1500 * time.Millisecond
+	// retryPause is the pause before a call that did not reach an owner is retried.
 	retryPause = 50 * time.Millisecond
-	// endSpan is how long a call whose context has ended may still tell what came of
-	// it, as one that was not sent does at once; a node that stops has 0.3 s for its
-	// last answers, and a caller's answer 50 ms for its way back.
-	endSpan = 20 * time.Millisecond
+	// cancelGrace is how long a call whose context has ended may still return its result, as a call
+	// that was not sent does at once. A node that stops has 0.3 s for its last responses, and a
+	// caller's response needs 50 ms to reach the caller.
+	cancelGrace = 20 * time.Millisecond
 )
 
-// nothing is the answer of calls that only succeed or fail.
-type nothing struct{}
+// noResult is the result of calls that only succeed or fail.
+type noResult struct{}
 
-// Submit hands a job to its pool's owner and returns once it is kept.
+// Submit passes a job to its pool's owner and returns once the job is persisted.
 func (g *Gateway) Submit(ctx context.Context, q *config.Queue, s job.Submission) error {
-	if taken, err := g.takenBefore(ctx, q, s.ID, s.Customer); taken || err != nil {
+	if taken, err := g.acceptedEarlier(ctx, q, s.ID, s.Customer); taken || err != nil {
 		return err
 	}
-	_, err := call(ctx, g, q.Pool, func(ctx context.Context, d *PoolHandler) (nothing, error) {
-		return nothing{}, d.Submit(ctx, s)
+	_, err := call(ctx, g, q.Pool, func(ctx context.Context, d *PoolHandler) (noResult, error) {
+		return noResult{}, d.Submit(ctx, s)
 	})
 	return err
 }
 
-// Cancel ends a job on behalf of a customer and returns once that is kept.
-func (g *Gateway) Cancel(ctx context.Context, q *config.Queue, id job.ID, by string) error {
-	_, err := find(ctx, g, q, func(ctx context.Context, d *PoolHandler) (nothing, error) {
-		return nothing{}, d.Cancel(ctx, id, by)
+// Cancel cancels a job on behalf of a customer and returns once the cancellation is persisted.
+func (g *Gateway) Cancel(ctx context.Context, q *config.Queue, id job.ID, customer string) error {
+	_, err := callAnyOwner(ctx, g, q, func(ctx context.Context, d *PoolHandler) (noResult, error) {
+		return noResult{}, d.Cancel(ctx, id, customer)
 	})
 	return err
 }
 
-// State returns what a caller is told of a job on behalf of a customer.
-func (g *Gateway) State(ctx context.Context, q *config.Queue, id job.ID, by string) (job.State, error) {
-	return find(ctx, g, q, func(ctx context.Context, d *PoolHandler) (job.State, error) { return d.State(ctx, id, by) })
+// State returns the state of a job that is reported to a customer.
+func (g *Gateway) State(ctx context.Context, q *config.Queue, id job.ID, customer string) (job.State, error) {
+	return callAnyOwner(ctx, g, q, func(ctx context.Context, d *PoolHandler) (job.State, error) { return d.State(ctx, id, customer) })
 }
 
-// Pending returns how many of a queue's jobs have not begun.
+// Pending returns the number of a queue's jobs that have not started.
 func (g *Gateway) Pending(ctx context.Context, q *config.Queue) (int, error) {
 	return call(ctx, g, q.Pool, func(ctx context.Context, d *PoolHandler) (int, error) { return d.Pending(ctx, q.Key()) })
 }
 
-// find calls the owner of a queue's pool and, where that knows no such job, the
-// owners of the others: a queue may have led to another pool when the job came.
-func find[T any](ctx context.Context, g *Gateway, q *config.Queue, do func(context.Context, *PoolHandler) (T, error)) (T, error) {
-	answer, err := call(ctx, g, q.Pool, do)
+// callAnyOwner calls the owner of a queue's pool and, if that does not know the job, the owners of
+// the other pools, since the queue may have used another pool when the job was submitted.
+func callAnyOwner[T any](ctx context.Context, g *Gateway, q *config.Queue, do func(context.Context, *PoolHandler) (T, error)) (T, error) {
+	result, err := call(ctx, g, q.Pool, do)
 	if !errkind.Is(err, errkind.Gone) {
-		return answer, err
+		return result, err
 	}
 	for _, p := range g.Config().Pools {
 		if p.Name == q.Pool || p.Headroom {
 			continue
 		}
-		elsewhere, other := call(ctx, g, p.Name, do)
-		if !errkind.Is(other, errkind.Gone) {
-			return elsewhere, other
+		otherResult, otherErr := call(ctx, g, p.Name, do)
+		if !errkind.Is(otherErr, errkind.Gone) {
+			return otherResult, otherErr
 		}
 	}
-	return answer, err
+	return result, err
 }
 
-// call makes a call to the owner of a pool, again while there is none or it is
-// not reached, which does no harm: every call may be made twice.
+// call calls the owner of a pool, and retries while there is no owner or it is not reached. Retries
+// are safe, because every call may be made twice.
 func call[T any](ctx context.Context, g *Gateway, pool string, do func(context.Context, *PoolHandler) (T, error)) (T, error) {
-	began := g.Clock.Now()
+	startedAt := g.Clock.Now()
 	unknown := false
 	for {
-		answer, changed, err := try(ctx, g, pool, do)
+		result, changed, err := callOnce(ctx, g, pool, do)
 		switch {
 		case errkind.Is(err, errkind.OutcomeUnknown):
 			unknown = true
 		case errkind.Is(err, errkind.Fenced), errkind.Is(err, errkind.NoTarget):
 		default:
-			return answer, refusedAfterUnknown(pool, unknown, err)
+			return result, refusalError(pool, unknown, err)
 		}
-		if ctx.Err() != nil || g.Clock.Now().Sub(began) > ownerless {
-			return answer, givenUp(pool, unknown, err)
+		if ctx.Err() != nil || g.Clock.Now().Sub(startedAt) > ownerWait {
+			return result, unreachedError(pool, unknown, err)
 		}
 		select {
 		case <-changed:
@@ -152,38 +149,37 @@
 	}
 }
 
-// refusedAfterUnknown returns the error of a call that was answered. A refusal for the time being
-// says only that this try has done nothing: where an earlier one may have, that is
-// what is told.
-func refusedAfterUnknown(pool string, unknown bool, err error) error {
+// refusalError returns the error of a call that got a response. A temporary refusal means only that
+// this attempt had no effect: if an earlier attempt may have had one, the outcome is reported as
+// unknown.
+func refusalError(pool string, unknown bool, err error) error {
 	if !unknown || err == nil {
 		return err
 	}
 	row := errkind.Of(err).Kind.Response()
 	if row.Outcome == errkind.NotRun && row.RetryAfter > 0 {
-		return errkind.New(errkind.OutcomeUnknown, "pool %s: an earlier try got no answer, and then: %v", pool, err)
+		return errkind.New(errkind.OutcomeUnknown, "pool %s: an earlier attempt got no response, and then: %v", pool, err)
 	}
 	return err
 }
 
-// givenUp returns the error of a call that did not reach an owner; one that may
-// have is not told as refused.
-func givenUp(pool string, unknown bool, err error) error {
+// unreachedError returns the error of a call that did not reach an owner; a call that may have
+// reached one is not reported as refused.
+func unreachedError(pool string, unknown bool, err error) error {
 	if unknown {
 		return errkind.New(errkind.OutcomeUnknown, "pool %s: %v", pool, err)
 	}
-	return errkind.New(errkind.NoTarget, "the owner of pool %s is not reached: %v", pool, err)
+	return errkind.New(errkind.NoTarget, "the owner of pool %s can't be reached: %v", pool, err)
 }
 
-// try makes a call to the owner that is known now; it returns a channel that is
-// closed when another may be. A call is given up on once another node owns the
-// pool.
-func try[T any](ctx context.Context, g *Gateway, pool string, do func(context.Context, *PoolHandler) (T, error)) (T, <-chan struct{}, error) {
+// callOnce calls the owner that is known now. It also returns a channel that is closed when another
+// owner may be known. The call is abandoned once another node owns the pool.
+func callOnce[T any](ctx context.Context, g *Gateway, pool string, do func(context.Context, *PoolHandler) (T, error)) (T, <-chan struct{}, error) {
 	var none T
 	v, changed := g.Directory.View()
-	if desk := g.Local(pool); desk != nil {
-		answer, err := do(ctx, desk)
-		return answer, changed, err
+	if handler := g.Local(pool); handler != nil {
+		result, err := do(ctx, handler)
+		return result, changed, err
 	}
 	if v == nil {
 		return none, changed, errkind.New(errkind.NoTarget, "the directory has not been read")
@@ -194,45 +190,45 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	a := &attempt[T]{do: do, desk: g.Remote(node, pool), result: make(chan outcome[T], 1)}
+	a := &attempt[T]{do: do, handler: g.Remote(node, pool), result: make(chan callResult[T], 1)}
 	go a.run(ctx)
-	given := ctx.Done()
-	var late <-chan time.Time
+	cancelled := ctx.Done()
+	var graceEnd <-chan time.Time
 	for {
 		select {
 		case o := <-a.result:
 			if errkind.Is(o.err, errkind.Fenced) && g.OnOutdated != nil {
 				g.OnOutdated(node)
 			}
-			return o.answer, changed, o.err
-		case <-given:
-			given, late = nil, g.Clock.After(endSpan)
-		case <-late:
-			return none, changed, errkind.New(errkind.OutcomeUnknown, "node %s: the call was given up: %v", node.Name, context.Cause(ctx))
+			return o.value, changed, o.err
+		case <-cancelled:
+			cancelled, graceEnd = nil, g.Clock.After(cancelGrace)
+		case <-graceEnd:
+			return none, changed, errkind.New(errkind.OutcomeUnknown, "node %s: the call was abandoned: %v", node.Name, context.Cause(ctx))
 		case <-changed:
 			v, changed = g.Directory.View()
 			if now, o, present := v.Owner(pool); !present || now.Name != node.Name || o.Epoch != known.Epoch {
-				return none, changed, errkind.New(errkind.OutcomeUnknown, "node %s does not own pool %s any more", node.Name, pool)
+				return none, changed, errkind.New(errkind.OutcomeUnknown, "node %s no longer owns pool %s", node.Name, pool)
 			}
 		}
 	}
 }
 
-// outcome is what came of an attempt.
-type outcome[T any] struct {
-	answer T
-	err    error
+// callResult is the result of an attempt.
+type callResult[T any] struct {
+	value T
+	err   error
 }
 
 // attempt is one call to another node.
 type attempt[T any] struct {
-	do     func(context.Context, *PoolHandler) (T, error)
-	desk   *PoolHandler
-	result chan outcome[T]
+	do      func(context.Context, *PoolHandler) (T, error)
+	handler *PoolHandler
+	result  chan callResult[T]
 }
 
-// run makes the call.
+// run makes the call and sends its result.
 func (a *attempt[T]) run(ctx context.Context) {
-	answer, err := a.do(ctx, a.desk)
-	a.result <- outcome[T]{answer, err}
+	result, err := a.do(ctx, a.handler)
+	a.result <- callResult[T]{result, err}
 }
--- a/services/gateway/gateway_test.go
+++ b/services/gateway/gateway_test.go
@@ -18,10 +18,10 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// TestARefusalAfterAnUnknownOutcomeIsNoRefusal: the first try of a submission got no
-// answer, so its job may be taken yet. The second is refused, which says that it was
-// not taken by that try; the caller must not be told that the job never runs.
-func TestARefusalAfterAnUnknownOutcomeIsNoRefusal(t *testing.T) {
+// TestRefusalAfterUnknownOutcomeStaysUnknown checks a submission whose first attempt gets no
+// response, so that its job may have been accepted, and whose second attempt is refused. The caller
+// must not be told that the job never runs.
+func TestRefusalAfterUnknownOutcomeStaysUnknown(t *testing.T) {
 	for _, refusal := range []errkind.Kind{errkind.LogUnavailable, errkind.Overloaded, errkind.Stopping} {
 		tries := 0
 		g := &Gateway{Directory: &directory.Directory{}}
@@ -29,9 +29,9 @@
 			return &PoolHandler{Submit: func(context.Context, job.Submission) error {
 				tries++
 				if tries == 1 {
-					return errkind.New(errkind.OutcomeUnknown, "the connection broke off")
+					return errkind.New(errkind.OutcomeUnknown, "the connection was lost")
 				}
-				return errkind.New(refusal, "not taken")
+				return errkind.New(refusal, "not accepted")
 			}}
 		}
 		err := g.Submit(t.Context(), &config.Queue{Pool: "p"}, job.Submission{ID: "1"})
@@ -40,20 +40,19 @@
 	}
 }
 
-// TestAJobThatComesAgainIsOneThoughItsQueueHasMoved: a job was taken by the pool that
-// its queue led to. The same job comes again after the queue has come to lead to another
-// pool: it must not begin there as well.
-func TestAJobThatComesAgainIsOneThoughItsQueueHasMoved(t *testing.T) {
-	taken := map[string]bool{}
+// TestResubmittedJobOfMovedQueueRunsOnce checks that a job which is submitted again after its queue
+// has moved to another pool does not start in the new pool if the previous one has accepted it.
+func TestResubmittedJobOfMovedQueueRunsOnce(t *testing.T) {
+	accepted := map[string]bool{}
 	g := &Gateway{Directory: &directory.Directory{}}
 	g.Local = func(pool string) *PoolHandler {
 		return &PoolHandler{
 			Submit: func(context.Context, job.Submission) error {
-				taken[pool] = true
+				accepted[pool] = true
 				return nil
 			},
 			State: func(context.Context, job.ID, string) (job.State, error) {
-				if taken[pool] {
+				if accepted[pool] {
 					return job.Running, nil
 				}
 				return "", errkind.New(errkind.Gone, "no such job")
@@ -66,38 +65,38 @@
 		g.ApplyConfig(config.New(uint64(version+1), []config.Queue{queue}, pools, config.Limits{}))
 		assert.NilError(t, g.Submit(t.Context(), &queue, job.Submission{ID: "1"}))
 	}
-	assert.Assert(t, !taken["b"], "one job is taken by two pools")
+	assert.Assert(t, !accepted["b"], "one job is accepted by two pools")
 }
 
-// TestACallToAnotherNodeEndsWithItsContext: a node that stops tells its calls to give up
-// and has 0.3 s for their answers; one that is being written to a node that takes nothing
-// does not see that, and its caller gets an answer all the same.
-func TestACallToAnotherNodeEndsWithItsContext(t *testing.T) {
+// TestRemoteCallEndsWithItsContext checks that a caller gets a response when its call is cancelled,
+// even if the call is being written to a node that reads nothing and does not notice the
+// cancellation. A node that stops cancels its calls and has 0.3 s for their responses.
+func TestRemoteCallEndsWithItsContext(t *testing.T) {
 	d := ownedElsewhere(t, "p")
-	asked, never := make(chan struct{}), make(chan struct{})
+	called, never := make(chan struct{}), make(chan struct{})
 	defer close(never)
 	g := &Gateway{Directory: d, Local: func(string) *PoolHandler { return nil }}
 	g.Remote = func(directory.Node, string) *PoolHandler {
 		return &PoolHandler{Submit: func(context.Context, job.Submission) error {
-			close(asked)
+			close(called)
 			<-never
 			return nil
 		}}
 	}
-	ctx, giveUp := context.WithCancel(t.Context())
-	answered := make(chan error, 1)
-	go func() { answered <- g.Submit(ctx, &config.Queue{Pool: "p"}, job.Submission{ID: "1"}) }()
-	<-asked
-	giveUp()
+	ctx, cancel := context.WithCancel(t.Context())
+	result := make(chan error, 1)
+	go func() { result <- g.Submit(ctx, &config.Queue{Pool: "p"}, job.Submission{ID: "1"}) }()
+	<-called
+	cancel()
 	select {
-	case err := <-answered:
+	case err := <-result:
 		assert.Assert(t, errkind.Is(err, errkind.OutcomeUnknown), "%v", err)
 	case <-time.After(10 * time.Second):
-		t.Fatal("the call goes on though it was given up")
+		t.Fatal("the call continues after it was cancelled")
 	}
 }
 
-// ownedElsewhere returns a directory that says that another node owns a pool.
+// ownedElsewhere returns a directory in which another node owns a pool.
 func ownedElsewhere(t *testing.T, pool string) *directory.Directory {
 	t.Helper()
 	encode := func(v any) []byte {
--- a/services/gateway/moved.go
+++ b/services/gateway/moved.go
@@ -14,84 +14,83 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// movedFor is for how long after a queue has come to lead to another pool the earlier
-// one is asked whether it has taken a job before. A job comes again some seconds after
-// it was accepted at the latest; ten times that is spared.
-const movedFor = 30 * time.Second
+// moveTTL is how long after a queue was moved to another pool the previous pool is still asked
+// whether it has accepted a job. A job is submitted again at most some seconds after it was
+// accepted; the limit allows ten times that.
+const moveTTL = 30 * time.Second
 
-// moves remembers where queues led before; its zero value remembers nothing.
-type moves struct {
-	mu   sync.Mutex
-	left map[string][]departure // by the queue's key
+// poolMoves records the previous pools of queues; its zero value records none.
+type poolMoves struct {
+	mu       sync.Mutex
+	previous map[string][]previousPool // by the queue's key
 }
 
-// departure says that a queue led to a pool until a time.
-type departure struct {
+// previousPool is a pool that a queue used until a time.
+type previousPool struct {
 	pool  string
 	until time.Time
 }
 
-// note remembers the queues of a configuration that lead elsewhere, or nowhere, by
-// the next one.
-func (m *moves) note(last, next *config.Config, now time.Time) {
+// record records the queues of a configuration that the next one moves to another pool or removes.
+func (m *poolMoves) record(last, next *config.Config, now time.Time) {
 	if last == nil {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.forget(now)
+	m.expire(now)
 	for i := range last.Queues {
 		q := &last.Queues[i]
 		if n := next.Queue(q.Key()); n != nil && n.Pool == q.Pool {
 			continue
 		}
-		if m.left == nil {
-			m.left = make(map[string][]departure)
+		if m.previous == nil {
+			m.previous = make(map[string][]previousPool)
 		}
-		list := slices.DeleteFunc(m.left[q.Key()], func(d departure) bool { return d.pool == q.Pool })
-		m.left[q.Key()] = append(list, departure{q.Pool, now})
+		list := slices.DeleteFunc(m.previous[q.Key()], func(d previousPool) bool { return d.pool == q.Pool })
+		m.previous[q.Key()] = append(list, previousPool{q.Pool, now})
 	}
 }
 
-// forget drops what is too long ago. The lock is held.
-func (m *moves) forget(now time.Time) {
-	for key, list := range m.left {
-		list = slices.DeleteFunc(list, func(d departure) bool { return now.Sub(d.until) > movedFor })
+// expire drops moves older than moveTTL. The lock is held.
+func (m *poolMoves) expire(now time.Time) {
+	for key, list := range m.previous {
+		list = slices.DeleteFunc(list, func(d previousPool) bool { return now.Sub(d.until) > moveTTL })
 		if len(list) == 0 {
-			delete(m.left, key)
+			delete(m.previous, key)
 			continue
 		}
-		m.left[key] = list
+		m.previous[key] = list
 	}
 }
 
-// earlier returns the pools that a queue led to a little while ago.
-func (m *moves) earlier(q *config.Queue, now time.Time) []string {
+// earlierPools returns the pools that a queue used within moveTTL.
+func (m *poolMoves) earlierPools(q *config.Queue, now time.Time) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var pools []string
-	for _, d := range m.left[q.Key()] {
-		if d.pool != q.Pool && now.Sub(d.until) <= movedFor {
+	for _, d := range m.previous[q.Key()] {
+		if d.pool != q.Pool && now.Sub(d.until) <= moveTTL {
 			pools = append(pools, d.pool)
 		}
 	}
 	return pools
 }
 
-// takenBefore reports whether a pool that the queue led to a little while ago has
-// taken a job. Where one can't say, the outcome is unknown: the job may be there.
-func (g *Gateway) takenBefore(ctx context.Context, q *config.Queue, id job.ID, by string) (bool, error) {
-	for _, pool := range g.moves.earlier(q, g.Clock.Now()) {
-		state, err := call(ctx, g, pool, func(ctx context.Context, d *PoolHandler) (job.State, error) { return d.State(ctx, id, by) })
+// acceptedEarlier reports whether a pool that the queue used within moveTTL has accepted a job. If
+// such a pool can't tell, the outcome is unknown, since the job may exist there.
+func (g *Gateway) acceptedEarlier(ctx context.Context, q *config.Queue, id job.ID, customer string) (bool, error) {
+	for _, pool := range g.moves.earlierPools(q, g.Clock.Now()) {
+		state, err := call(ctx, g, pool, func(ctx context.Context, d *PoolHandler) (job.State, error) { return d.State(ctx, id, customer) })
 		switch {
 		case err == nil:
 			g.Logger.Info().Str("event", "submit").Str("job", string(id)).Str("queue", q.Key()).Str("pool", pool).Str("now", q.Pool).
-				Str("state", string(state)).Str("outcome", "known").Msg("a job came again after its queue had come to lead to another pool")
+				Str("state", string(state)).Str("outcome", "known").Msg("a job was submitted again after its queue had moved to another pool")
 			return true, nil
 		case errkind.Is(err, errkind.Forbidden):
 			return false, err
 		case !errkind.Is(err, errkind.Gone):
-			return false, errkind.New(errkind.OutcomeUnknown, "whether pool %s, where the queue led before, has taken the job: %v", pool, err)
+			return false, errkind.New(errkind.OutcomeUnknown, "it is unknown whether pool %s, which the queue used before, has accepted the job: %v", pool, err)
 		}
 	}
 	return false, nil
--- a/services/gateway/moved_test.go
+++ b/services/gateway/moved_test.go
@@ -12,19 +12,20 @@
 	"github.com/yardbridge/yardbridge/models/config"
 )
 
-// TestMovesAreForgotten: queues that come and go leave nothing behind for good.
-func TestMovesAreForgotten(t *testing.T) {
-	var m moves
+// TestMovesExpire checks that queues which are added and removed leave no records behind
+// permanently.
+func TestMovesExpire(t *testing.T) {
+	var m poolMoves
 	now := time.Unix(1000, 0)
 	queue := config.Queue{Host: "h", PathPrefix: "/q/", Pool: "a"}
 	with := config.New(1, []config.Queue{queue}, nil, config.Limits{})
 	without := config.New(2, nil, nil, config.Limits{})
 	moved := queue
 	moved.Pool = "b"
-	m.note(with, without, now)
-	assert.DeepEqual(t, m.earlier(&moved, now.Add(movedFor)), []string{"a"})
-	assert.Equal(t, len(m.earlier(&queue, now)), 0, "the pool that it leads to now is no earlier one")
-	assert.Equal(t, len(m.earlier(&moved, now.Add(movedFor+time.Second))), 0)
-	m.note(without, without, now.Add(movedFor+time.Second))
-	assert.Equal(t, len(m.left), 0)
+	m.record(with, without, now)
+	assert.DeepEqual(t, m.earlierPools(&moved, now.Add(moveTTL)), []string{"a"})
+	assert.Equal(t, len(m.earlierPools(&queue, now)), 0, "the pool that it uses now is not an earlier one")
+	assert.Equal(t, len(m.earlierPools(&moved, now.Add(moveTTL+time.Second))), 0)
+	m.record(without, without, now.Add(moveTTL+time.Second))
+	assert.Equal(t, len(m.previous), 0)
 }
