--- a/services/once/once.go
+++ b/services/once/once.go
@@ -27,15 +27,15 @@
 	Ledger Proposer
 	Clock  clock.Clock
 	Logger log.Logger
-	// ResultTimeout bounds how long a result waits for the log, 0 for the default.
+	// ResultTimeout is how long a result waits for the log, 0 for the default.
 	ResultTimeout time.Duration
 }
 
-// resultLife is how long a result is kept for a log that is down.
-const resultLife = 10 * time.Minute
+// defaultResultTimeout is how long a result is retained while the log is unavailable.
+const defaultResultTimeout = 10 * time.Minute
 
-// Fingerprint returns the fingerprint by which a repeat of a request is told from
-// another one that uses its key.
+// Fingerprint returns the fingerprint that distinguishes a repeated request from another request
+// with the same key.
 func Fingerprint(method, path string, body []byte) []byte {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(path), body} {
@@ -45,20 +45,20 @@
 	return h.Sum(nil)[:16]
 }
 
-// Claim is a key that this process alone may dispatch, once.
+// Claim is a key that only this process may dispatch, once.
 type Claim struct {
 	Key    string
 	Offset uint64 // of the claim
 }
 
-// Claim reserves the key for one dispatch by the caller of this function. It
-// returns the kept answer, where there is one, with an AlreadyRun error.
-func (d *Service) Claim(ctx context.Context, key string, sum []byte) (Claim, *record.Reply, error) {
+// Claim reserves the key for one dispatch by the caller of this function. If a response is stored
+// for the key, it is returned with an AlreadyRun error.
+func (d *Service) Claim(ctx context.Context, key string, fingerprint []byte) (Claim, *record.Reply, error) {
 	if err := oncekey.Check(key, d.Clock.Now()); err != nil {
 		return Claim{}, nil, err
 	}
-	late := func(verdicts []state.Verdict) { d.giveBack(key, verdicts) }
-	records := []record.Record{{Claim: &record.Claim{Key: key, Sum: sum}}}
+	late := func(verdicts []state.Verdict) { d.releaseClaim(key, verdicts) }
+	records := []record.Record{{Claim: &record.Claim{Key: key, Sum: fingerprint}}}
 	verdicts, err := d.Ledger.Propose(ctx, records, late)
 	if err != nil {
 		return Claim{}, nil, notRun(err)
@@ -73,8 +73,8 @@
 	return Claim{}, nil, verdicts[0]
 }
 
-// notRun turns every failure to claim into one that is true of the request:
-// whatever became of the claim, this process has not dispatched it.
+// notRun converts an error of a claim into one that is true of the request: whether or not the
+// claim was accepted, this process has not dispatched the request.
 func notRun(err error) error {
 	e := errkind.Of(err)
 	if e.Kind == errkind.OutcomeUnknown {
@@ -83,25 +83,24 @@
 	return err
 }
 
-// giveBack frees a key whose claim was accepted after its request had been
-// refused.
-func (d *Service) giveBack(key string, verdicts []state.Verdict) {
+// releaseClaim releases a key whose claim was accepted after its request had been refused.
+func (d *Service) releaseClaim(key string, verdicts []state.Verdict) {
 	if verdicts[0] == nil {
 		c, _ := d.Ledger.State().Claim(key)
 		d.Finish(record.Result{Key: key, Claim: c.Offset, NotRun: true})
 	}
 }
 
-// Finish records how a claimed request ended. It waits for the log for a
-// while; without it the key stays taken, which refuses repeats.
+// Finish records the result of a claimed request. It waits for the log up to ResultTimeout; if the
+// result is not recorded, the key stays claimed and repeated requests are refused.
 func (d *Service) Finish(r record.Result) {
-	life := d.ResultTimeout
-	if life == 0 {
-		life = resultLife
+	timeout := d.ResultTimeout
+	if timeout == 0 {
+		timeout = defaultResultTimeout
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), life)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if _, err := d.Ledger.Propose(ctx, []record.Record{{Result: &r}}, nil); err != nil {
-		d.Logger.Warn().Err(err).Msg("the outcome of a keyed request is not recorded")
+		d.Logger.Warn().Err(err).Msg("the result of a keyed request was not recorded")
 	}
 }
