--- a/services/outlier/doc.go
+++ b/services/outlier/doc.go
@@ -1,5 +1,5 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package outlier sets targets aside that fail, and tries them again sparingly.
+// Package outlier ejects targets that fail, and tests them again with single requests.
 package outlier
--- a/services/outlier/outlier.go
+++ b/services/outlier/outlier.go
@@ -10,74 +10,73 @@
 	"github.com/yardbridge/yardbridge/modules/clock"
 )
 
-// The policy: after so many failures in a row a target is set aside, for a
-// time that grows by a half with each failed trial, so that a target which has
-// recovered is in use again after half the time that it failed, at most.
+// The policy: after this many consecutive failures a target is ejected, for a time that grows by a
+// half with each failed trial. A target that has recovered is therefore in use again after at most
+// half of the time for which it failed.
 const (
-	failuresInRow = 5
-	firstAside    = 250 * time.Millisecond
-	longestAside  = 30 * time.Second
-	asideGrowth   = 1.5
-	latencyWeight = 0.1
+	consecutiveFailures = 5
+	firstEjection       = 250 * time.Millisecond
+	longestEjection     = 30 * time.Second
+	ejectionGrowth      = 1.5
+	latencyWeight       = 0.1
 )
 
-// Detector judges targets by how their requests end; its zero value is ready.
+// Detector ejects targets by the outcomes of their requests; its zero value is ready for use.
 type Detector struct {
 	Clock clock.Clock
-	// Peers returns the targets that serve the same as a target, itself
-	// included; nil for none.
+	// Peers returns the targets of the same pool as a target, including itself; nil for none.
 	Peers func(worker string) []string
 
 	mu      sync.Mutex
-	targets map[string]*record
+	targets map[string]*targetRecord
 }
 
-type record struct {
-	failures int
-	aside    time.Duration // length of the newest time aside, 0 while in use
-	until    time.Time
-	trial    bool // one request is let through to try the target
-	latency  time.Duration
+type targetRecord struct {
+	failures   int
+	ejectedFor time.Duration // duration of the latest ejection, 0 while in use
+	until      time.Time
+	onTrial    bool // one request is in flight to test the target
+	latency    time.Duration
 }
 
-func (w *Detector) get(worker string) *record {
+func (w *Detector) get(worker string) *targetRecord {
 	if w.targets == nil {
-		w.targets = make(map[string]*record)
+		w.targets = make(map[string]*targetRecord)
 	}
 	r, ok := w.targets[worker]
 	if !ok {
-		r = &record{}
+		r = &targetRecord{}
 		w.targets[worker] = r
 	}
 	return r
 }
 
-// MayUse reports whether a target may be given a request.
+// MayUse reports whether a request may be sent to a target.
 func (w *Detector) MayUse(worker string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := w.get(worker)
-	if r.aside == 0 {
+	if r.ejectedFor == 0 {
 		return true
 	}
-	return !r.trial && !w.Clock.Now().Before(r.until)
+	return !r.onTrial && !w.Clock.Now().Before(r.until)
 }
 
-// RecordStart notes that a request goes to a target; one set aside is on trial.
+// RecordStart records that a request is sent to a target; an ejected target is then on trial.
 func (w *Detector) RecordStart(worker string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if r := w.get(worker); r.aside > 0 {
-		r.trial = true
+	if r := w.get(worker); r.ejectedFor > 0 {
+		r.onTrial = true
 	}
 }
 
-// RecordSuccess notes an answer and how long it took.
+// RecordSuccess records a response and its time.
 func (w *Detector) RecordSuccess(worker string, took time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := w.get(worker)
-	r.failures, r.aside, r.trial = 0, 0, false
+	r.failures, r.ejectedFor, r.onTrial = 0, 0, false
 	if r.latency == 0 {
 		r.latency = took
 		return
@@ -85,60 +84,60 @@
 	r.latency += time.Duration(latencyWeight * float64(took-r.latency))
 }
 
-// RecordFailure notes a failure, and sets the target aside after some in a row; never
-// more than half of those that serve the same.
+// RecordFailure records a failure, and ejects the target after several in a row, but never more
+// than half of the targets of a pool.
 func (w *Detector) RecordFailure(worker string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := w.get(worker)
 	r.failures++
-	r.trial = false
-	if r.aside > 0 {
-		r.aside = min(time.Duration(asideGrowth*float64(r.aside)), longestAside)
-		r.until = w.Clock.Now().Add(r.aside)
+	r.onTrial = false
+	if r.ejectedFor > 0 {
+		r.ejectedFor = min(time.Duration(ejectionGrowth*float64(r.ejectedFor)), longestEjection)
+		r.until = w.Clock.Now().Add(r.ejectedFor)
 		return
 	}
-	if r.failures >= failuresInRow && w.maySetAside(worker) {
-		r.aside = firstAside
-		r.until = w.Clock.Now().Add(r.aside)
+	if r.failures >= consecutiveFailures && w.mayEject(worker) {
+		r.ejectedFor = firstEjection
+		r.until = w.Clock.Now().Add(r.ejectedFor)
 	}
 }
 
-// RecordInconclusive ends a request that says nothing of the target.
+// RecordInconclusive records the end of a request whose outcome says nothing about the target.
 func (w *Detector) RecordInconclusive(worker string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.get(worker).trial = false
+	w.get(worker).onTrial = false
 }
 
-func (w *Detector) maySetAside(worker string) bool {
+func (w *Detector) mayEject(worker string) bool {
 	if w.Peers == nil {
 		return true
 	}
 	peers := w.Peers(worker)
-	aside := 0
+	ejected := 0
 	for _, p := range peers {
-		if w.get(p).aside > 0 {
-			aside++
+		if w.get(p).ejectedFor > 0 {
+			ejected++
 		}
 	}
-	return 2*(aside+1) <= len(peers)
+	return 2*(ejected+1) <= len(peers)
 }
 
-// Latency returns the usual time of a target's answers, 0 for not known.
+// Latency returns the average response time of a target, 0 if unknown.
 func (w *Detector) Latency(worker string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.get(worker).latency
 }
 
-// Ejected returns the targets that are set aside and until when.
+// Ejected returns the ejected targets and the times until which they are ejected.
 func (w *Detector) Ejected() map[string]time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m := make(map[string]time.Time)
 	for worker, r := range w.targets {
-		if r.aside > 0 {
+		if r.ejectedFor > 0 {
 			m[worker] = r.until
 		}
 	}
