--- a/services/measure/measure_test.go
+++ b/services/measure/measure_test.go
@@ -19,14 +19,14 @@
 func TestCallsAreCountedByOutcome(t *testing.T) {
 	m := New()
 	failing := m.Store(port.Store{Put: func(context.Context, port.Partition, []port.Record) error {
-		return errkind.New(errkind.LogUnavailable, "no answer")
+		return errkind.New(errkind.LogUnavailable, "no response")
 	}})
 	err := failing.Put(t.Context(), port.Partition{}, nil)
 	assert.Equal(t, errkind.Of(err).Kind, errkind.LogUnavailable)
-	links := m.Workers(port.Workers{Open: func(worker.Worker) *port.Link {
+	workers := m.Workers(port.Workers{Open: func(worker.Worker) *port.Link {
 		return &port.Link{Start: func(context.Context, port.Start) port.Response { return port.Response{Result: port.NoCapacity} }}
 	}})
-	links.Open(worker.Worker{}).Start(t.Context(), port.Start{})
+	workers.Open(worker.Worker{}).Start(t.Context(), port.Start{})
 	assert.Equal(t, m.CounterValue("store.put."+errkind.LogUnavailable.String()), int64(1))
 	assert.Equal(t, m.CounterValue("worker.start.no-room"), int64(1))
 	m.Observe("call.submit", 1500*time.Microsecond, "ok")
--- a/services/measure/meter.go
+++ b/services/measure/meter.go
@@ -13,17 +13,17 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// sampleSize is how many of a histogram's values are kept: 5% of a quantile's
-// rank at most is lost, at 4 KiB a histogram.
+// sampleSize is the number of values that a histogram retains: the rank of a quantile is off by at
+// most 5%, at 4 KiB for each histogram.
 const sampleSize = 512
 
-// Meter counts calls and keeps a histogram of how long they took. A nil meter
-// counts nothing; New makes one that does.
+// Meter counts calls and keeps a histogram of their durations. A nil meter counts nothing; New
+// returns one that counts.
 type Meter struct {
 	registry gometrics.Registry
 }
 
-// New returns a meter that has counted nothing.
+// New returns an empty meter.
 func New() *Meter { return &Meter{registry: gometrics.NewRegistry()} }
 
 // Count adds one to a counter.
@@ -37,8 +37,8 @@
 	}
 }
 
-// Observe adds the span of one call to its histogram, which is in microseconds, and
-// counts it under its outcome.
+// Observe adds the duration of one call to its histogram, in microseconds, and counts the call
+// under its outcome.
 func (m *Meter) Observe(call string, took time.Duration, outcome string) {
 	if m == nil {
 		return
@@ -50,13 +50,14 @@
 	m.Count(call + "." + outcome)
 }
 
-// ObserveCall is Time for a call that ended with an error or nil.
+// ObserveCall is Observe for a call that ended with an error or nil.
 func (m *Meter) ObserveCall(call string, took time.Duration, err error) {
 	m.Observe(call, took, outcome(err))
 }
 
-// Channels returns what counts channels to a destination that were found silent, with
-// the time until each was, and what counts the calls to it that were to be made again.
+// Channels returns two functions for the channels to a destination: found counts channels found
+// unresponsive, with the time until each was found, and repeated counts calls that were due to be
+// repeated.
 func (m *Meter) Channels(to string) (found func(n int, after time.Duration), repeated func(allowed bool)) {
 	found = func(n int, after time.Duration) {
 		for range n {
@@ -73,7 +74,7 @@
 	return found, repeated
 }
 
-// Gauge registers a value that is asked for when it is read.
+// Gauge registers a value that is computed when it is read.
 func (m *Meter) Gauge(name string, read func() int64) {
 	if m == nil {
 		return
@@ -90,10 +91,10 @@
 	return counter.Count()
 }
 
-// Write writes all figures as text.
+// Write writes all metrics as text.
 func (m *Meter) Write(w io.Writer) { gometrics.WriteOnce(m.registry, w) }
 
-// ServeHTTP answers with all figures as text.
+// ServeHTTP responds with all metrics as text.
 func (m *Meter) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	m.Write(w)
@@ -103,7 +104,7 @@
 	return gometrics.NewHistogram(gometrics.NewUniformSample(sampleSize))
 }
 
-// outcome names how a call ended.
+// outcome returns the name of a call's outcome.
 func outcome(err error) string {
 	if err == nil {
 		return "ok"
