--- a/entry/dump.go
+++ b/entry/dump.go
@@ -39,7 +39,7 @@
 	HeapBytes   uint64                            `json:"heap_bytes"`
 }
 
-// Dump returns what the process holds.
+// Dump returns the state of the process.
 func (e *Entry) Dump() Dump {
 	s := e.Ledger.State()
 	held, waiting := e.Holder.Dump()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -38,7 +38,7 @@
 	"github.com/yardbridge/yardbridge/services/snapshots"
 )
 
-// Entry is one entry process; New makes it, Start and Run bring it to life.
+// Entry is one entry process; New creates it and Start runs it.
 type Entry struct {
 	Setting   setting.Settings
 	Clock     clock.Clock
@@ -55,47 +55,46 @@
 	Pools     *pools.Decider
 	Jobs      *jobs.Decider
 
-	fleet  *fleetwatch.Watcher
-	keeper *leases.Renewer
-	taker  *snapshots.Snapshotter
-	server *peerrpc.Server
-	client *peerrpc.Client
-	pokes  chan pokeTo
+	fleet         *fleetwatch.Watcher
+	leaseKeeper   *leases.Renewer
+	snapshotTaker *snapshots.Snapshotter
+	server        *peerrpc.Server
+	client        *peerrpc.Client
+	notifications chan outgoingNotification
 
-	newer  atomic.Pointer[setting.Settings] // the settings in force, nil for those of the start
-	listen setting.Listen                   // as the settings of the start said
+	reloaded         atomic.Pointer[setting.Settings] // settings in force after a reload, nil before the first
+	configuredListen setting.Listen                   // as configured at the start
 
 	mu    sync.Mutex
 	ready bool
 }
 
-// pokeTo is a poke on its way to an entry.
-type pokeTo struct {
-	entry string
-	poke  slots.Notification
+// outgoingNotification is a notification to be sent to an entry.
+type outgoingNotification struct {
+	entry        string
+	notification slots.Notification
 }
 
-// Ports are the outside systems that an entry uses.
+// Ports are the external systems that an entry uses.
 type Ports struct {
 	Log   platform.Log
 	Fleet platform.Fleet
 	Tasks platform.Tasks
 }
 
-// pokeBacklog bounds the pokes on their way; more are dropped, since holders
-// ask again by themselves.
-const pokeBacklog = 1024
+// maxQueuedNotifications is the largest number of queued notifications; further ones are dropped,
+// since holders also retry without them.
+const maxQueuedNotifications = 1024
 
-// New puts an entry together; it opens its address for peers, but does nothing
-// else yet.
+// New creates an entry and opens its address for peers, but starts nothing else.
 func New(s setting.Settings, ports Ports, m *metrics.Set, c clock.Clock, logger log.Logger) (*Entry, error) {
 	e := &Entry{
-		Setting: s,
-		Clock:   c,
-		Logger:  logger,
-		Metrics: m,
-		pokes:   make(chan pokeTo, pokeBacklog),
-		listen:  s.Listen,
+		Setting:          s,
+		Clock:            c,
+		Logger:           logger,
+		Metrics:          m,
+		notifications:    make(chan outgoingNotification, maxQueuedNotifications),
+		configuredListen: s.Listen,
 	}
 	if err := e.openPeers(); err != nil {
 		return nil, err
@@ -108,13 +107,13 @@
 	return e, nil
 }
 
-// openPeers opens the address for peers, with TLS unless it is switched off.
+// openPeers opens the address for peers, with TLS unless it is disabled.
 func (e *Entry) openPeers() error {
 	p := e.Setting.Peers
 	e.client = &peerrpc.Client{Address: e.addressOf, Metrics: e.Metrics, Logger: e.Logger}
 	e.server = &peerrpc.Server{Logger: e.Logger, Metrics: e.Metrics}
 	if p.Insecure {
-		e.Logger.Warn().Msg("peers.insecure is set: entries do not prove who they are")
+		e.Logger.Warn().Msg("peers.insecure is set: entries do not authenticate each other")
 	} else {
 		source, err := tlsconf.New(tlsconf.Files{Certificate: p.Certificate, Key: p.Key, Authority: p.Authority})
 		if err != nil {
@@ -140,7 +139,7 @@
 		DataCenter:  e.Setting.Entry.Hall,
 		Address:     cmp.Or(e.Setting.Peers.Advertise, e.Setting.Listen.Peers),
 		Incarnation: incarnation,
-		Peers:       ledger.Peers{Relay: e.relay, State: e.whole, Append: e.appendByPeer},
+		Peers:       ledger.Peers{Relay: e.relay, State: e.newestPeerState, Append: e.appendByPeer},
 	}
 	e.Members = &members.Table{
 		Clock:       e.Clock,
@@ -155,7 +154,7 @@
 
 func (e *Entry) buildSlots(incarnation uint64) {
 	name := e.Setting.Entry.Name
-	e.Lender = &slots.Lender{Clock: e.Clock, Name: name, Notify: e.queuePoke}
+	e.Lender = &slots.Lender{Clock: e.Clock, Name: name, Notify: e.queueNotification}
 	e.Outliers = &outlier.Detector{Clock: e.Clock, Peers: e.samePool}
 	e.Holder = &slots.Holder{
 		Clock:      e.Clock,
@@ -172,7 +171,7 @@
 
 func (e *Entry) buildRequests() {
 	l := e.Setting.Limits
-	desk := &once.Service{
+	keys := &once.Service{
 		Clock:  e.Clock,
 		Logger: e.Logger,
 		Ledger: once.Proposer{
@@ -188,7 +187,7 @@
 		State:     e.Ledger.State,
 		Holder:    e.Holder,
 		Outliers:  e.Outliers,
-		Once:      desk,
+		Once:      keys,
 		Metrics:   e.Metrics,
 		OnLeaving: e.leaving,
 		IdleConns: l.MaxIdleConns(),
@@ -209,11 +208,11 @@
 		Clock: e.Clock, Logger: e.Logger, Fleet: ports.Fleet, State: e.Ledger.State,
 		Propose: e.Propose, NotifyLeaving: e.leaving,
 	}
-	e.keeper = &leases.Renewer{
+	e.leaseKeeper = &leases.Renewer{
 		Clock: e.Clock, Name: name, Incarnation: incarnation,
 		State: e.Ledger.State, Alive: e.Members.AliveEntries, Propose: e.Propose,
 	}
-	e.taker = &snapshots.Snapshotter{
+	e.snapshotTaker = &snapshots.Snapshotter{
 		Clock: e.Clock, Logger: e.Logger, Name: name, Incarnation: incarnation,
 		Retention: e.Setting.Platform.Retention.Std(), State: e.Ledger.State, Propose: e.Propose,
 	}
@@ -227,7 +226,7 @@
 	}
 }
 
-// Propose puts records on the log and returns the verdicts on them.
+// Propose appends records to the log and returns the verdicts on them.
 func (e *Entry) Propose(ctx context.Context, records []record.Record) ([]state.Verdict, error) {
 	return e.Ledger.Propose(ctx, ledger.Proposal{Records: records})
 }
@@ -238,7 +237,7 @@
 	return r.Address
 }
 
-// samePool returns the workers that serve the same as a worker.
+// samePool returns the workers in the pool of a worker.
 func (e *Entry) samePool(worker string) []string {
 	s := e.Ledger.State()
 	i, _ := s.Instances.Get(worker)
@@ -249,7 +248,7 @@
 	return same
 }
 
-// exchange sends a slots exchange, to this entry's own lender without a hop.
+// exchange performs a slots exchange with an owner; this entry's own lender is called directly.
 func (e *Entry) exchange(ctx context.Context, owner string, x slots.Exchange) (slots.ExchangeResponse, error) {
 	if owner == e.Setting.Entry.Name {
 		return e.Lender.Exchange(x), nil
@@ -257,15 +256,15 @@
 	return e.client.Exchange(ctx, owner, x)
 }
 
-func (e *Entry) queuePoke(entry string, p slots.Notification) {
+func (e *Entry) queueNotification(entry string, p slots.Notification) {
 	select {
-	case e.pokes <- pokeTo{entry, p}:
+	case e.notifications <- outgoingNotification{entry, p}:
 	default:
 	}
 }
 
-// alivePeers returns the other entries that seem alive, in random order, or
-// all others where none does.
+// alivePeers returns the other entries that seem alive, in random order, or all others if none
+// seems alive.
 func (e *Entry) alivePeers() []string {
 	peers := e.Members.AliveEntries()
 	if len(peers) < 2 {
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -15,17 +15,17 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// Times and counts of what is asked of peers.
+// Timeouts and limits of calls to peers.
 const (
-	relayTimeout = time.Second
-	wholeTimeout = 10 * time.Second
-	reachedLimit = 10 * time.Second
-	appendPeers  = 2 // that are asked to append; if the log is down for all, more are no help
-	spreadFanout = 8 // entries that are told of leaving targets by each that learns of them
-	spreadLimit  = 2 * time.Second
+	relayTimeout   = time.Second
+	stateTimeout   = 10 * time.Second
+	awaitMarkLimit = 10 * time.Second
+	appendPeers    = 2 // peers asked to append; if the log is unavailable to all, more would not help
+	leavingFanout  = 8 // entries to which each entry announces leaving targets when it learns of them
+	leavingTimeout = 2 * time.Second
 )
 
-// handlers are what this entry does on the messages of others.
+// handlers returns the handlers of the messages of other entries.
 func (e *Entry) handlers() peerrpc.Handlers {
 	return peerrpc.Handlers{
 		Exchange:        e.Lender.Exchange,
@@ -33,14 +33,14 @@
 		Probe:           e.Members.Receive,
 		ProbeIndirectly: e.Members.Ping,
 		Leaving:         e.leaving,
-		Relay:           e.relayOut,
-		Append:          e.appendOut,
-		State:           e.wholeOut,
-		AwaitMark:       e.reached,
+		Relay:           e.relayTail,
+		Append:          e.appendForPeer,
+		State:           e.ownState,
+		AwaitMark:       e.awaitMark,
 	}
 }
 
-// relay takes records from a live peer while the log can't be reached.
+// relay gets records from a live peer while the log can't be reached.
 func (e *Entry) relay(ctx context.Context, from uint64) ([]record.Stored, time.Duration, error) {
 	for _, p := range e.alivePeers() {
 		bounded, cancel := context.WithTimeout(ctx, relayTimeout)
@@ -50,10 +50,10 @@
 			return a.Records, a.ContactAge, nil
 		}
 	}
-	return nil, 0, errkind.New(errkind.LogUnavailable, "no peer answers")
+	return nil, 0, errkind.New(errkind.LogUnavailable, "no peer responds")
 }
 
-func (e *Entry) relayOut(from uint64) peerrpc.RelayResponse {
+func (e *Entry) relayTail(from uint64) peerrpc.RelayResponse {
 	return peerrpc.RelayResponse{
 		Records:    e.Ledger.Tail(from),
 		ContactAge: e.Clock.Now().Sub(e.Ledger.LastContact()),
@@ -75,14 +75,14 @@
 	return err
 }
 
-// appendOut appends a peer's batch; it does not ask further peers.
-func (e *Entry) appendOut(ctx context.Context, data []byte) error {
+// appendForPeer appends a peer's batch; it does not ask further peers.
+func (e *Entry) appendForPeer(ctx context.Context, data []byte) error {
 	_, err := e.Ledger.Log.Append(ctx, data)
 	return err
 }
 
-// whole takes the newest state of the seeds and known entries.
-func (e *Entry) whole(ctx context.Context) (state.State, error) {
+// newestPeerState returns the newest state among the seeds and the known entries.
+func (e *Entry) newestPeerState(ctx context.Context) (state.State, error) {
 	addresses := append([]string(nil), e.CurrentSetting().Peers.Seeds...)
 	for _, p := range e.alivePeers() {
 		addresses = append(addresses, e.addressOf(p))
@@ -92,19 +92,19 @@
 		if a == e.Setting.Listen.Peers {
 			continue
 		}
-		s, err := e.wholeAt(ctx, a)
+		s, err := e.peerState(ctx, a)
 		if err == nil && s.Offset > newest.Offset {
 			newest = s
 		}
 	}
 	if newest.Offset == 0 {
-		return newest, errkind.New(errkind.LogUnavailable, "none of %d peers has a state to give", len(addresses))
+		return newest, errkind.New(errkind.LogUnavailable, "none of %d peers has a state to offer", len(addresses))
 	}
 	return newest, nil
 }
 
-func (e *Entry) wholeAt(ctx context.Context, address string) (state.State, error) {
-	bounded, cancel := context.WithTimeout(ctx, wholeTimeout)
+func (e *Entry) peerState(ctx context.Context, address string) (state.State, error) {
+	bounded, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	a, err := e.client.StateAt(bounded, address)
 	if err != nil {
@@ -113,40 +113,40 @@
 	return state.Decode(a.Data)
 }
 
-func (e *Entry) wholeOut() (peerrpc.StateResponse, error) {
+func (e *Entry) ownState() (peerrpc.StateResponse, error) {
 	data, err := e.Ledger.State().Encode()
 	return peerrpc.StateResponse{Data: data}, err
 }
 
-func (e *Entry) reached(ctx context.Context, m state.Position) peerrpc.AwaitMarkResponse {
-	bounded, cancel := context.WithTimeout(ctx, reachedLimit)
+func (e *Entry) awaitMark(ctx context.Context, m state.Position) peerrpc.AwaitMarkResponse {
+	bounded, cancel := context.WithTimeout(ctx, awaitMarkLimit)
 	defer cancel()
 	return peerrpc.AwaitMarkResponse{Reached: e.Ledger.WaitFor(bounded, m) == nil}
 }
 
-// leaving stops new requests to targets here and, if that is news, passes it
-// on, so that every entry knows within a few hops.
+// leaving stops new requests to targets on this entry. If that is new information it is announced
+// to other entries, so that all of them know within a few hops.
 func (e *Entry) leaving(workers []string) {
 	if !e.Holder.MarkLeaving(workers) {
 		return
 	}
 	peers := e.alivePeers()
-	for _, p := range peers[:min(spreadFanout, len(peers))] {
-		go spreading{e, p, workers}.run()
+	for _, p := range peers[:min(leavingFanout, len(peers))] {
+		go leavingAnnouncement{e, p, workers}.send()
 	}
 }
 
-// spreading is the news of leaving targets on its way to an entry.
-type spreading struct {
+// leavingAnnouncement is the announcement of leaving targets to one entry.
+type leavingAnnouncement struct {
 	e       *Entry
 	entry   string
 	workers []string
 }
 
-func (s spreading) run() {
-	ctx, cancel := context.WithTimeout(context.Background(), spreadLimit)
+func (s leavingAnnouncement) send() {
+	ctx, cancel := context.WithTimeout(context.Background(), leavingTimeout)
 	defer cancel()
 	if err := s.e.client.AnnounceLeaving(ctx, s.entry, s.workers); err != nil {
-		s.e.Logger.Debug().Err(err).Str("entry", s.entry).Msg("leaving not passed on")
+		s.e.Logger.Debug().Err(err).Str("entry", s.entry).Msg("leaving targets not announced")
 	}
 }
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -5,24 +5,23 @@
 
 import "github.com/yardbridge/yardbridge/modules/setting"
 
-// Reload takes over newer settings: the tokens, the seeds and the times that are
-// looked up at each use. It returns the keys of the others that differ, which are
-// taken up at the next start.
+// Reload applies newer settings: the tokens, the seeds, and the limits that are read at each use.
+// It returns the keys of the other settings that differ, which take effect at the next start.
 func (e *Entry) Reload(s setting.Settings) (restart []string) {
-	newer := e.Setting
-	newer.Tokens, newer.Peers.Seeds = s.Tokens, s.Peers.Seeds
-	newer.Limits.ShutdownDelay, newer.Limits.StaleAfter = s.Limits.ShutdownDelay, s.Limits.StaleAfter
-	newer.Limits.MaxConnections = s.Limits.MaxConnections
-	e.newer.Store(&newer)
-	known := newer
-	known.Listen = e.listen // as the file said, and not as the system gave it
+	reloaded := e.Setting
+	reloaded.Tokens, reloaded.Peers.Seeds = s.Tokens, s.Peers.Seeds
+	reloaded.Limits.ShutdownDelay, reloaded.Limits.StaleAfter = s.Limits.ShutdownDelay, s.Limits.StaleAfter
+	reloaded.Limits.MaxConnections = s.Limits.MaxConnections
+	e.reloaded.Store(&reloaded)
+	known := reloaded
+	known.Listen = e.configuredListen // as configured, not as assigned by the system
 	return setting.Changed(known, s)
 }
 
 // CurrentSetting returns the settings in force.
 func (e *Entry) CurrentSetting() setting.Settings {
-	if newer := e.newer.Load(); newer != nil {
-		return *newer
+	if reloaded := e.reloaded.Load(); reloaded != nil {
+		return *reloaded
 	}
 	return e.Setting
 }
--- a/entry/run.go
+++ b/entry/run.go
@@ -14,39 +14,39 @@
 	"github.com/yardbridge/yardbridge/services/slots"
 )
 
-// Times of an entry's life.
+// Intervals and timeouts of an entry.
 const (
-	startPause  = 500 * time.Millisecond
-	idlePeriod  = 50 * time.Millisecond
-	evenPeriod  = time.Second
-	pokeTimeout = time.Second
-	leaveLimit  = 5 * time.Second
+	startRetryPause = 500 * time.Millisecond
+	idlePeriod      = 50 * time.Millisecond
+	balancePeriod   = time.Second
+	notifyTimeout   = time.Second
+	leaveLimit      = 5 * time.Second
 )
 
-// ErrReplaced says that the platform has replaced this process.
-var ErrReplaced = errors.New("this process was replaced or taken off the platform's list")
+// ErrReplaced reports that the platform has replaced this process.
+var ErrReplaced = errors.New("this process was replaced or removed from the platform's list")
 
-// loop is one of the entry's activities.
-type loop func(ctx context.Context)
+// backgroundLoop is one of the entry's background activities; it runs until the context ends.
+type backgroundLoop func(ctx context.Context)
 
-// Start reads the log, joins the roster and begins to work; the work goes on
-// until the context ends. It returns once the entry is ready.
+// Start reads the log, joins the membership and starts the background activities, which run until
+// the context ends. It returns once the entry is ready.
 func (e *Entry) Start(ctx context.Context) error {
 	e.server.Handlers = e.handlers()
 	go e.server.Run(ctx)
 	if err := e.catchUp(ctx); err != nil {
 		return err
 	}
-	for _, l := range []loop{
-		e.Ledger.Run, e.runUpdates, e.runPokes, e.Exchanger.Run, e.runIdle,
+	for _, l := range []backgroundLoop{
+		e.Ledger.Run, e.runUpdates, e.runNotifications, e.Exchanger.Run, e.runIdle,
 	} {
 		go l(ctx)
 	}
 	if err := e.join(ctx); err != nil {
 		return err
 	}
-	for _, l := range []loop{
-		e.Members.Run, e.fleet.Run, e.keeper.Run, e.taker.Run, e.Pools.Run, e.Jobs.Run, e.runBalance,
+	for _, l := range []backgroundLoop{
+		e.Members.Run, e.fleet.Run, e.leaseKeeper.Run, e.snapshotTaker.Run, e.Pools.Run, e.Jobs.Run, e.runBalance,
 	} {
 		go l(ctx)
 	}
@@ -60,30 +60,30 @@
 	return nil
 }
 
-// catchUp reads the log to its end, or a peer's state while the log is down.
+// catchUp reads the log to its end, or a peer's state while the log is unavailable.
 func (e *Entry) catchUp(ctx context.Context) error {
 	for {
 		err := e.Ledger.Start(ctx)
 		if err == nil {
 			return nil
 		}
-		e.Logger.Warn().Err(err).Msg("no state yet")
+		e.Logger.Warn().Err(err).Msg("no state yet; retrying")
 		select {
-		case <-e.Clock.After(startPause):
+		case <-e.Clock.After(startRetryPause):
 		case <-ctx.Done():
 			return errors.Trace(ctx.Err())
 		}
 	}
 }
 
-// join enters the roster, which waits for the log; an entry that is not in it
-// can borrow no slots and is not ready.
+// join joins the membership, which waits for the log; an entry that is not a member can't borrow
+// slots and is not ready.
 func (e *Entry) join(ctx context.Context) error {
-	return errors.Annotate(e.Ledger.Join(ctx), "joining the roster")
+	return errors.Annotate(e.Ledger.Join(ctx), "joining the membership")
 }
 
-// awaitFleet waits until the platform's instance list has been seen once, by
-// any entry; without it no pool can be judged.
+// awaitFleet waits until any entry has recorded the platform's instance list; without the list the
+// state of no pool can be determined.
 func (e *Entry) awaitFleet(ctx context.Context) error {
 	for {
 		s, changed := e.Ledger.Changed()
@@ -98,7 +98,7 @@
 	}
 }
 
-// runUpdates hands each newer state to the parts that keep books of it.
+// runUpdates passes each newer state to the lender and the holder.
 func (e *Entry) runUpdates(ctx context.Context) {
 	for ctx.Err() == nil {
 		s, changed := e.Ledger.Changed()
@@ -111,38 +111,38 @@
 	}
 }
 
-// runPokes sends pokes one after another.
-func (e *Entry) runPokes(ctx context.Context) {
+// runNotifications sends queued notifications one after another.
+func (e *Entry) runNotifications(ctx context.Context) {
 	for {
 		select {
-		case p := <-e.pokes:
-			e.poke(ctx, p)
+		case p := <-e.notifications:
+			e.sendNotification(ctx, p)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (e *Entry) poke(ctx context.Context, p pokeTo) {
+func (e *Entry) sendNotification(ctx context.Context, p outgoingNotification) {
 	if p.entry == e.Setting.Entry.Name {
-		e.Holder.HandleNotification(p.poke)
+		e.Holder.HandleNotification(p.notification)
 		return
 	}
-	bounded, cancel := context.WithTimeout(ctx, pokeTimeout)
+	bounded, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
-	if err := e.client.Notify(bounded, p.entry, p.poke); err != nil {
-		e.Logger.Debug().Err(err).Str("entry", p.entry).Msg("not poked")
+	if err := e.client.Notify(bounded, p.entry, p.notification); err != nil {
+		e.Logger.Debug().Err(err).Str("entry", p.entry).Msg("notification not sent")
 	}
 }
 
-// runIdle tells the log which draining targets have become idle.
+// runIdle records on the log which draining targets have become idle.
 func (e *Entry) runIdle(ctx context.Context) {
 	for ctx.Err() == nil {
 		e.Lender.NotifyWaiting()
 		for _, i := range e.Lender.Idle() {
 			err := e.Ledger.ProposeOne(ctx, record.Record{Drained: &record.Drained{Worker: i.Worker, Epoch: i.Epoch}})
 			if err != nil && ctx.Err() == nil {
-				e.Logger.Debug().Err(err).Str("worker", i.Worker).Msg("drained not recorded")
+				e.Logger.Debug().Err(err).Str("worker", i.Worker).Msg("drained target not recorded")
 			}
 		}
 		select {
@@ -152,7 +152,7 @@
 	}
 }
 
-// runBalance hands slots over to entries that own fewer, one at a time.
+// runBalance hands slots over to entries that own fewer, one target at a time.
 func (e *Entry) runBalance(ctx context.Context) {
 	for ctx.Err() == nil {
 		if h, ok := slots.Balance(e.Ledger.State(), e.Setting.Entry.Name); ok {
@@ -161,14 +161,14 @@
 			}
 		}
 		select {
-		case <-e.Clock.After(evenPeriod):
+		case <-e.Clock.After(balancePeriod):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// Ready returns nil while the balancer may send requests here, and else why
-// it may not.
+// Ready returns nil while the load balancer may send requests to this entry, and otherwise the
+// reason why not.
 func (e *Entry) Ready() error {
 	e.mu.Lock()
 	ready := e.ready
@@ -181,26 +181,26 @@
 	}
 	age := e.Clock.Now().Sub(e.Ledger.LastContact())
 	if age > e.CurrentSetting().Limits.StaleAfter.Std() {
-		return errkind.New(errkind.LogUnavailable, "neither the log nor a peer that is fresh enough was reached for %s", age.Round(time.Second))
+		return errkind.New(errkind.LogUnavailable, "neither the log nor an up-to-date peer was reached for %s", age.Round(time.Second))
 	}
 	return nil
 }
 
-// Withdraw makes the entry not ready, so that the balancer sends no more.
+// Withdraw makes the entry not ready, so that the load balancer sends no more requests.
 func (e *Entry) Withdraw() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ready = false
 }
 
-// Shutdown ends a planned stop: it waits for the requests in flight, hands every
-// slot back and leaves the roster.
+// Shutdown completes a planned stop: it waits for the requests in flight, returns every slot and
+// leaves the membership.
 func (e *Entry) Shutdown(ctx context.Context) {
 	e.Dispatch.Stop()
 	bounded, cancel := context.WithTimeout(ctx, leaveLimit)
 	defer cancel()
 	if err := e.Ledger.ProposeOne(bounded, record.Record{Leave: &record.Leave{}}); err != nil {
-		e.Logger.Warn().Err(err).Msg("left without the log's knowledge")
+		e.Logger.Warn().Err(err).Msg("leaving the membership was not recorded on the log")
 	}
 	e.client.Close()
 }
