--- a/routers/apiv1/config.go
+++ b/routers/apiv1/config.go
@@ -16,13 +16,13 @@
 	"github.com/yardbridge/yardbridge/services/rollout"
 )
 
-// offsetWait bounds how long a request waits for an offset that it asks for.
+// offsetWait is how long a request waits at most for the offset that it requires.
 const offsetWait = 5 * time.Second
 
 func formatOffset(offset uint64) string { return strconv.FormatUint(offset, 10) }
 
-// awaitOffset holds the request until the entry shows the offset it names, so
-// that nobody is shown an older state than they have seen elsewhere.
+// awaitOffset waits until the entry has the offset that the request names, so that no client sees
+// an older state than it has already seen on another entry.
 func (t *Router) awaitOffset(r *http.Request) error {
 	text := r.Header.Get(HeaderMinOffset)
 	if text == "" {
@@ -30,14 +30,14 @@
 	}
 	offset, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return errkind.New(errkind.BadRequest, "%s: %q is no offset", HeaderMinOffset, text)
+		return errkind.New(errkind.BadRequest, "%s: %q is not an offset", HeaderMinOffset, text)
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), offsetWait)
 	defer cancel()
 	return t.Entry.Ledger.WaitFor(ctx, state.Position{Offset: offset})
 }
 
-// ObjectList is the answer of GET /objects.
+// ObjectList is the response of GET /objects.
 type ObjectList struct {
 	Version uint64            `json:"version"`
 	Objects []manifest.Object `json:"objects"`
@@ -45,30 +45,30 @@
 
 func (t *Router) objects(o operator, _ *http.Request) (any, error) {
 	c := t.Entry.Ledger.State().Catalog
-	answer := ObjectList{Version: c.Version, Objects: []manifest.Object{}}
+	response := ObjectList{Version: c.Version, Objects: []manifest.Object{}}
 	for _, object := range c.Active() {
-		if o.sees(object.Owner()) {
-			answer.Objects = append(answer.Objects, object)
+		if o.maySee(object.Owner()) {
+			response.Objects = append(response.Objects, object)
 		}
 	}
-	return answer, nil
+	return response, nil
 }
 
 func (t *Router) object(o operator, r *http.Request) (any, error) {
 	ref := manifest.Ref{Kind: manifest.Kind(r.PathValue("kind")), Name: r.PathValue("name")}
 	object, ok := t.Entry.Ledger.State().Catalog.Get(ref)
-	if !ok || !o.sees(object.Owner()) {
+	if !ok || !o.maySee(object.Owner()) {
 		return nil, errkind.New(errkind.NotFound, "%s is not declared", ref)
 	}
 	return object, nil
 }
 
-// parseFile reads the declarative file of a request, with its query.
+// parseFile parses the declarative file and the query of a request.
 func (t *Router) parseFile(o operator, r *http.Request) (rollout.Request, error) {
 	q := rollout.Request{Operator: o.name, Team: o.team}
 	data, err := io.ReadAll(io.LimitReader(r.Body, manifest.MaxFileBytes+1))
 	if err != nil {
-		return q, errkind.New(errkind.SlowRequest, "the file did not come: %v", err)
+		return q, errkind.New(errkind.SlowRequest, "the file was not received: %v", err)
 	}
 	query := r.URL.Query()
 	name := query.Get("file")
@@ -84,7 +84,7 @@
 	if text := query.Get("base"); text != "" {
 		base, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			return q, errkind.New(errkind.BadRequest, "base: %q is no version", text)
+			return q, errkind.New(errkind.BadRequest, "base: %q is not a version", text)
 		}
 		q.Base = &base
 	}
--- a/routers/apiv1/router.go
+++ b/routers/apiv1/router.go
@@ -17,37 +17,37 @@
 	"github.com/yardbridge/yardbridge/services/jobs"
 )
 
-// Prefix is where every path of this version begins.
+// Prefix is the common prefix of all paths of this version.
 const Prefix = "/api/v1"
 
-// HeaderMinOffset asks that the answer show at least the log up to an offset.
+// HeaderMinOffset is the offset up to which the response must at least reflect the log.
 const HeaderMinOffset = "Yardbridge-Min-Offset"
 
-// HeaderOffset tells up to where the answer shows the log.
+// HeaderOffset is the offset up to which the response reflects the log.
 const HeaderOffset = "Yardbridge-Offset"
 
-// maxJSON bounds the body of a request but for files.
+// maxJSON is the largest request body, except for declarative files.
 const maxJSON = 1 << 20
 
-// Router answers operators and teams.
+// Router handles the requests of operators and teams.
 type Router struct {
 	Entry *entry.Entry
 	Jobs  *jobs.Service
 }
 
-// operator is who asks.
+// operator is the authenticated sender of a request.
 type operator struct {
 	name string
-	team string // empty for an operator of everything
+	team string // empty for an operator of all teams
 }
 
-// action answers one authenticated request.
-type action func(o operator, r *http.Request) (any, error)
+// handlerFunc handles one authenticated request.
+type handlerFunc func(o operator, r *http.Request) (any, error)
 
-// Handler returns the API's routes.
+// Handler returns the handler of all routes of the API.
 func (t *Router) Handler() http.Handler {
 	mux := http.NewServeMux()
-	routes := map[string]action{
+	routes := map[string]handlerFunc{
 		"GET /status":                t.status,
 		"GET /objects":               t.objects,
 		"GET /objects/{kind}/{name}": t.object,
@@ -71,38 +71,38 @@
 	return mux
 }
 
-// authenticated lets only bearers of a token through.
-func (t *Router) authenticated(a action) http.HandlerFunc {
+// authenticated returns a handler that accepts only requests with a known token.
+func (t *Router) authenticated(a handlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		o, err := t.who(r)
+		o, err := t.authenticate(r)
 		if err == nil {
 			err = t.awaitOffset(r)
 		}
-		var answer any
+		var response any
 		if err == nil {
-			answer, err = a(o, r)
+			response, err = a(o, r)
 		}
 		if err != nil {
 			errkind.Write(w, "", err)
 			return
 		}
-		t.write(w, answer)
+		t.write(w, response)
 	}
 }
 
-func (t *Router) write(w http.ResponseWriter, answer any) {
+func (t *Router) write(w http.ResponseWriter, response any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(HeaderOffset, formatOffset(t.Entry.Ledger.State().Offset))
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	// An operator that has gone away needs no answer.
-	_ = encoder.Encode(answer)
+	// The error of a client that has disconnected is ignored.
+	_ = encoder.Encode(response)
 }
 
-// who returns the bearer of the request's token.
-func (t *Router) who(r *http.Request) (operator, error) {
-	secret, bears := bearer.Secret(r)
-	if !bears {
+// authenticate returns the operator to whom the request's token belongs.
+func (t *Router) authenticate(r *http.Request) (operator, error) {
+	secret, hasSecret := bearer.Secret(r)
+	if !hasSecret {
 		return operator{}, errkind.New(errkind.Unauthorized, "the Authorization header must be: Bearer TOKEN")
 	}
 	var found *setting.Token
@@ -118,16 +118,16 @@
 	return operator{name: found.Name, team: found.Team}, nil
 }
 
-// everything refuses what only an operator of everything may see or do.
-func (o operator) everything() error {
+// requireAllTeams returns an error unless the operator has access to all teams.
+func (o operator) requireAllTeams() error {
 	if o.team != "" {
 		return errkind.New(errkind.Forbidden, "token %s is for team %s only", o.name, o.team)
 	}
 	return nil
 }
 
-// sees reports whether what belongs to a team may be shown.
-func (o operator) sees(team string) bool { return o.team == "" || o.team == team }
+// maySee reports whether the operator may see objects of a team.
+func (o operator) maySee(team string) bool { return o.team == "" || o.team == team }
 
 func readJSON[T any](r *http.Request) (T, error) {
 	var v T
--- a/routers/apiv1/status.go
+++ b/routers/apiv1/status.go
@@ -13,10 +13,10 @@
 	"github.com/yardbridge/yardbridge/services/pools"
 )
 
-// Status is the answer of GET /status.
+// Status is the response of GET /status.
 type Status struct {
 	Entry     string                  `json:"entry"`
-	Ready     string                  `json:"ready"` // yes, or why not
+	Ready     string                  `json:"ready"` // "yes", or the reason why not
 	Offset    uint64                  `json:"offset"`
 	Version   uint64                  `json:"version"`
 	Members   []string                `json:"roster"`
@@ -27,20 +27,20 @@
 	Blocked   []pools.BlockedInstance `json:"maintenance_blocked,omitempty"`
 }
 
-// PoolStatus is one pool's row of the status.
+// PoolStatus is the status of one pool.
 type PoolStatus struct {
 	Pool      string `json:"pool"`
 	Size      int    `json:"size"`
 	Present   int    `json:"present"`
 	Serving   int    `json:"serving"`
-	Available int    `json:"available"` // that must stay
-	Spare     int    `json:"spare"`     // that could go, negative where the budget does not hold
+	Available int    `json:"available"` // instances that must stay available
+	Spare     int    `json:"spare"`     // instances that could be lost, negative if the budget does not hold
 }
 
 func (t *Router) status(o operator, _ *http.Request) (any, error) {
 	e := t.Entry
 	s := e.Ledger.State()
-	answer := Status{
+	response := Status{
 		Entry:   e.Setting.Entry.Name,
 		Ready:   "yes",
 		Offset:  s.Offset,
@@ -51,24 +51,24 @@
 		Ejected: e.Outliers.Ejected(),
 	}
 	if err := e.Ready(); err != nil {
-		answer.Ready = errkind.Of(err).Message
+		response.Ready = errkind.Of(err).Message
 	}
 	for role, l := range s.Leases.All() {
-		answer.Roles[role] = l.Holder
+		response.Roles[role] = l.Holder
 	}
 	for _, p := range s.Catalog.Pools() {
-		if !o.sees(p.Team) {
+		if !o.maySee(p.Team) {
 			continue
 		}
 		h := s.Headroom(p)
-		answer.Pools = append(answer.Pools, PoolStatus{
+		response.Pools = append(response.Pools, PoolStatus{
 			Pool: p.Name, Size: p.Size, Present: len(s.PoolInstances(p.Name)),
 			Serving: h.Serving, Available: p.MinAvailable, Spare: h.Spare(),
 		})
 	}
 	plan := pools.MakePlan(s, e.Setting.Entry.Name, e.Ledger.Incarnation, e.Clock.Now())
-	answer.Shortages, answer.Blocked = plan.Shortages, plan.Blocked
-	return answer, nil
+	response.Shortages, response.Blocked = plan.Shortages, plan.Blocked
+	return response, nil
 }
 
 // InstanceStatus is one row of GET /instances.
@@ -102,14 +102,14 @@
 }
 
 func (t *Router) dump(o operator, _ *http.Request) (any, error) {
-	if err := o.everything(); err != nil {
+	if err := o.requireAllTeams(); err != nil {
 		return nil, err
 	}
 	return t.Entry.Dump(), nil
 }
 
 func (t *Router) metrics(o operator, _ *http.Request) (any, error) {
-	if err := o.everything(); err != nil {
+	if err := o.requireAllTeams(); err != nil {
 		return nil, err
 	}
 	return gometrics.Registry(t.Entry.Metrics.Registry).GetAll(), nil
--- a/routers/caller/caller.go
+++ b/routers/caller/caller.go
@@ -11,20 +11,20 @@
 	"github.com/yardbridge/yardbridge/services/dispatch"
 )
 
-// Paths of the surface.
+// Paths of the interface.
 const (
 	servicePrefix = "/s/"
 	pathHealthy   = "/-/healthy"
 	pathReady     = "/-/ready"
 )
 
-// Router answers callers at /s/SERVICE/PATH, and the balancer under /-/.
+// Router handles requests of callers at /s/SERVICE/PATH, and of the load balancer under /-/.
 type Router struct {
 	Dispatch *dispatch.Dispatcher
 	Ready    func() error
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP handles one request.
 func (t *Router) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	rest, ok := strings.CutPrefix(r.URL.Path, servicePrefix)
 	if ok {
--- a/routers/caller/doc.go
+++ b/routers/caller/doc.go
@@ -1,5 +1,5 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package caller is the surface for callers and for the balancer.
+// Package caller serves the HTTP interface for callers and for the load balancer.
 package caller
--- a/routers/daemon/calm.go
+++ b/routers/daemon/calm.go
@@ -9,31 +9,30 @@
 	"github.com/yardbridge/yardbridge/modules/clock"
 )
 
-// calmLimit is how many spans a stop waits at most for callers that come in
-// spite of all.
-const calmLimit = 10
+// maxQuietSpans is the number of quiet spans after which a stop no longer waits for callers that
+// continue to send requests.
+const maxQuietSpans = 10
 
-// calm is the wait of a planned stop until the balancer sends nothing any more.
-// A balancer may be slow to hear that an entry is not ready, and a connection
-// that it opens as the entry stops listening would be cut off.
-type calm struct {
-	Clock  clock.Clock
-	Newest func() time.Time // when the newest request came
-	Span   time.Duration    // without a request
+// quietWait is the wait of a planned stop until the load balancer sends no more requests. A
+// balancer may notice late that an entry is not ready, and a connection that it opens while the
+// entry stops listening would be cut off.
+type quietWait struct {
+	Clock       clock.Clock
+	LastRequest func() time.Time // arrival of the newest request
+	Quiet       time.Duration    // time without a request that ends the wait
 }
 
-// await returns once no request has come for the span, or after calmLimit of
-// them.
-func (c calm) await() {
-	begun := c.Clock.Now()
+// await returns once no request has arrived for the quiet span, or after maxQuietSpans spans.
+func (c quietWait) await() {
+	startedAt := c.Clock.Now()
 	for {
 		now := c.Clock.Now()
-		since := begun
-		if newest := c.Newest(); newest.After(since) {
-			since = newest
+		since := startedAt
+		if last := c.LastRequest(); last.After(since) {
+			since = last
 		}
-		left := c.Span - now.Sub(since)
-		if left <= 0 || now.Sub(begun) >= calmLimit*c.Span {
+		left := c.Quiet - now.Sub(since)
+		if left <= 0 || now.Sub(startedAt) >= maxQuietSpans*c.Quiet {
 			return
 		}
 		<-c.Clock.After(left)
--- a/routers/daemon/calm_test.go
+++ b/routers/daemon/calm_test.go
@@ -12,17 +12,17 @@
 	"github.com/yardbridge/yardbridge/modules/clock"
 )
 
-// TestCalm waits on a clock that moves by what is waited for.
-func TestCalm(t *testing.T) {
+// TestQuietWait runs the wait on a fake clock that advances by each time waited for.
+func TestQuietWait(t *testing.T) {
 	begin := time.Date(2026, 3, 2, 1, 0, 0, 0, time.UTC)
 	const span = time.Second
 	for name, c := range map[string]struct {
-		until time.Duration // requests come every 10 ms so long after the begin
+		until time.Duration // requests arrive every 10 ms for this time after the start
 		want  time.Duration
 	}{
-		"nobody comes":          {0, span},
-		"a balancer is slow":    {2500 * time.Millisecond, 3500 * time.Millisecond},
-		"callers never go away": {time.Hour, calmLimit * span},
+		"no requests":             {0, span},
+		"a slow load balancer":    {2500 * time.Millisecond, 3500 * time.Millisecond},
+		"callers that never stop": {time.Hour, maxQuietSpans * span},
 	} {
 		t.Run(name, func(t *testing.T) {
 			fake := clock.NewFake(begin)
@@ -41,7 +41,7 @@
 				}
 				return begin.Add(c.until)
 			}
-			calm{Clock: clock.Clock{NowFunc: fake.Now, AfterFunc: after}, Newest: newest, Span: span}.await()
+			quietWait{Clock: clock.Clock{NowFunc: fake.Now, AfterFunc: after}, LastRequest: newest, Quiet: span}.await()
 			took := fake.Now().Sub(begin)
 			assert.Assert(t, took >= c.want && took < c.want+span, "took %s", took)
 		})
--- a/routers/daemon/daemon.go
+++ b/routers/daemon/daemon.go
@@ -21,10 +21,10 @@
 	"github.com/yardbridge/yardbridge/services/jobs"
 )
 
-// finishLimit bounds a planned stop.
-const finishLimit = 2 * time.Minute
+// shutdownTimeout is the longest time for a planned stop.
+const shutdownTimeout = 2 * time.Minute
 
-// Daemon is one entry process.
+// Daemon is one entry process with its listeners.
 type Daemon struct {
 	Entry         *entry.Entry
 	CallerAddress string // address for callers, once started
@@ -36,8 +36,7 @@
 	cancel  context.CancelFunc
 }
 
-// Start opens the surfaces of an entry and brings it to life; it returns once
-// the entry is ready.
+// Start opens the listeners of an entry and starts it; it returns once the entry is ready.
 func Start(ctx context.Context, s setting.Settings, logger log.Logger) (*Daemon, error) {
 	counts := metrics.New()
 	client := platformhttp.New(s.Platform.URL, s.Entry.Name, counts)
@@ -52,11 +51,11 @@
 	}
 	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	d.cancel = cancel
-	// The surfaces answer before the entry is ready: that it is not.
+	// The listeners respond before the entry is ready, with the status that it is not ready.
 	go d.callers.Run(running)
 	go d.admin.Run(running)
-	// A stop that comes before the entry is ready needs no ceremony; one that
-	// comes later is Stop's, which needs the log to the end.
+	// A stop before the entry is ready just cancels the start. A later stop is handled by Stop,
+	// which needs the log until its end.
 	early := context.AfterFunc(ctx, cancel)
 	err = e.Start(running)
 	stopped := !early()
@@ -65,8 +64,8 @@
 	}
 	d.Kill()
 	if stopped {
-		// What the start was doing failed for that.
-		logger.Info().Str("event", "stop").AnErr("err", err).Msg("the entry is asked to stop before it is ready")
+		// The error of the start is a consequence of the stop.
+		logger.Info().Str("event", "stop").AnErr("err", err).Msg("the entry is stopped before it is ready")
 		err = errors.Trace(ctx.Err())
 	}
 	return nil, err
@@ -80,11 +79,11 @@
 		ReadTimeout:    l.ReadTimeout.Std(),
 		MaxConnections: l.MaxConnections,
 	}
-	desk := &jobs.Service{
+	service := &jobs.Service{
 		Clock: d.Entry.Clock, State: d.Entry.Ledger.State, Waiting: d.Entry.Jobs.Waiting,
 		Propose: d.Entry.Propose,
 	}
-	router := &apiv1.Router{Entry: d.Entry, Jobs: desk}
+	router := &apiv1.Router{Entry: d.Entry, Jobs: service}
 	d.admin = &httpserve.Server{
 		Handler:        router.Handler(),
 		MaxHeaderBytes: l.HeaderBytes,
@@ -101,15 +100,15 @@
 	return nil
 }
 
-// Stop is the planned stop: the balancer is told first, then nothing new is
-// taken, and what is in flight gets its answer.
+// Stop performs a planned stop: the entry first becomes not ready for the load balancer, then
+// accepts no new requests and waits for the responses of those in flight.
 func (d *Daemon) Stop() {
-	ctx, cancel := context.WithTimeout(context.Background(), finishLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	d.Entry.Withdraw()
 	d.callers.DisableKeepAlives()
-	calm{
-		Clock: d.Entry.Clock, Newest: d.Entry.Dispatch.LastRequest, Span: d.Entry.CurrentSetting().Limits.ShutdownDelay.Std(),
+	quietWait{
+		Clock: d.Entry.Clock, LastRequest: d.Entry.Dispatch.LastRequest, Quiet: d.Entry.CurrentSetting().Limits.ShutdownDelay.Std(),
 	}.await()
 	d.Entry.Dispatch.EndStreams()
 	if err := d.callers.Shutdown(ctx); err != nil {
@@ -117,12 +116,12 @@
 	}
 	d.Entry.Shutdown(ctx)
 	if err := d.admin.Shutdown(ctx); err != nil {
-		d.Entry.Logger.Warn().Err(err).Msg("administration cut off")
+		d.Entry.Logger.Warn().Err(err).Msg("administration connections were cut off")
 	}
 	d.cancel()
 }
 
-// Reload takes over newer settings and returns the keys of those that need a restart.
+// Reload applies newer settings and returns the keys of those that need a restart.
 func (d *Daemon) Reload(s setting.Settings) (restart []string) {
 	restart = d.Entry.Reload(s)
 	d.callers.SetMaxConnections(s.Limits.MaxConnections)
@@ -130,10 +129,10 @@
 	return restart
 }
 
-// Kill ends the process's work at once, as if it had crashed.
+// Kill ends the process's work immediately, like a crash.
 func (d *Daemon) Kill() {
 	d.cancel()
-	// Errors of closing tell nothing here.
+	// Errors of closing are irrelevant here.
 	_ = d.callers.Close()
 	_ = d.admin.Close()
 }
--- a/routers/daemon/start_test.go
+++ b/routers/daemon/start_test.go
@@ -20,9 +20,9 @@
 	"github.com/yardbridge/yardbridge/standin"
 )
 
-// TestAStopDuringTheStartIsToldAsOne: an entry that is asked to stop while it writes to
-// the log has not failed, though that write has.
-func TestAStopDuringTheStartIsToldAsOne(t *testing.T) {
+// TestStopDuringStartIsReported checks that an entry which is stopped while it writes to the log at
+// its start reports the stop, and not the failed write.
+func TestStopDuringStartIsReported(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	behind, err := standin.Start(standin.Options{Address: "127.0.0.1:0"}, nil)
 	assert.NilError(t, err)
@@ -30,7 +30,7 @@
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: behind.Address})
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
-			_, _ = io.Copy(io.Discard, r.Body) // only then the server sees that the caller leaves
+			_, _ = io.Copy(io.Discard, r.Body) // only after that the server notices that the caller disconnects
 			stop()
 			<-r.Context().Done()
 			return
