--- a/adapters/noderpc/client.go
+++ b/adapters/noderpc/client.go
@@ -19,31 +19,31 @@
 	"github.com/yardbridge/yardbridge/modules/rpcconn"
 )
 
-// dialTimeout bounds the time to connect to a node, which takes milliseconds.
+// dialTimeout is the longest time to connect to a node, which normally takes milliseconds.
 const dialTimeout = 500 * time.Millisecond
 
 // Client calls other nodes; it keeps one connection to each.
 type Client struct {
 	Logger log.Logger
-	// Dial opens a connection; nil does over TCP.
+	// Dial opens a connection; nil opens one over TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
-	// OnUnresponsive is told of each connection that was found silent; nil tells nobody.
+	// OnUnresponsive is called for each connection that was found unresponsive, with the time until
+	// it was found; it may be nil.
 	OnUnresponsive func(address string, after time.Duration)
 
 	once  sync.Once
 	conns rpcconn.Client
 }
 
-// table returns the connections, set up at the first use.
+// table returns the table of connections, which is initialized at the first use.
 func (c *Client) table() *rpcconn.Client {
 	c.once.Do(func() { c.conns.Dial, c.conns.Logger, c.conns.OnUnresponsive = c.dial, &c.Logger, c.OnUnresponsive })
 	return &c.conns
 }
 
-// Call calls a method of the node at an address. An error of the kind NoTarget says
-// that the call was not sent, one of the kind OutcomeUnknown that it may have been
-// taken.
+// Call calls a method of the node at an address. An error of the kind NoTarget means that the call
+// was not sent, one of the kind OutcomeUnknown that it may have been executed.
 func (c *Client) Call(ctx context.Context, address, method string, params, result any) error {
 	err := c.table().Call(ctx, address, method, params, result)
 	var refused *jsonrpc2.Error
@@ -76,17 +76,17 @@
 	return boundedConn{raw}, nil
 }
 
-// writeTimeout bounds a write. A peer that has gone without a word takes nothing
-// any more, and the library holds its lock while it writes: without a bound every
-// other call to that peer would wait, whatever its own time limit.
+// writeTimeout is the longest time for a write. A peer that has disappeared without closing the
+// connection reads nothing any more, and the jsonrpc2 library holds its lock during a write:
+// without a limit, every other call to that peer would wait, whatever its own timeout.
 const writeTimeout = 400 * time.Millisecond
 
-// boundedConn is a connection whose writes end in time.
+// boundedConn is a connection whose writes have a timeout.
 type boundedConn struct{ net.Conn }
 
-// Write writes within the bound; a connection that does not take it is closed.
+// Write writes with a timeout; a connection on which a write fails is closed.
 func (c boundedConn) Write(p []byte) (int, error) {
-	// A connection that takes no deadline fails the write as well.
+	// If the deadline can't be set, the write fails as well.
 	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	n, err := c.Conn.Write(p)
 	if err != nil {
@@ -95,19 +95,19 @@
 	return n, err
 }
 
-// NetConn returns the connection that is bounded, which a reset is for.
+// NetConn returns the underlying connection, which is needed to reset it.
 func (c boundedConn) NetConn() net.Conn { return c.Conn }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() { c.table().Close() }
 
-// codeBase is the code of the first error kind between nodes.
-const codeBase = 1000
+// firstErrorCode is the JSON-RPC code of the first error kind between nodes.
+const firstErrorCode = 1000
 
-// kindOf returns the error of a node's answer.
+// kindOf converts the error response of a node to an error.
 func kindOf(e *jsonrpc2.Error) error {
 	kinds := errkind.Kinds()
-	if n := int(e.Code - codeBase); n >= 0 && n < len(kinds) {
+	if n := int(e.Code - firstErrorCode); n >= 0 && n < len(kinds) {
 		var after time.Duration
 		if e.Data != nil && json.Unmarshal(*e.Data, &after) == nil && after > 0 {
 			return errkind.NewRetry(kinds[n], after, "%s", e.Message)
@@ -117,12 +117,12 @@
 	return errkind.New(errkind.Internal, "%s", e.Message)
 }
 
-// codeOf returns the answer of an error, which names the time to come back as its data.
+// codeOf converts an error to an error response, with the time after which to retry as its data.
 func codeOf(err error) *jsonrpc2.Error {
 	e := errkind.Of(err)
-	answer := &jsonrpc2.Error{Code: codeBase + int64(e.Kind), Message: e.Message}
+	response := &jsonrpc2.Error{Code: firstErrorCode + int64(e.Kind), Message: e.Message}
 	if e.RetryAfter > 0 {
-		answer.SetError(e.RetryAfter)
+		response.SetError(e.RetryAfter)
 	}
-	return answer
+	return response
 }
--- a/adapters/noderpc/client_test.go
+++ b/adapters/noderpc/client_test.go
@@ -16,9 +16,9 @@
 	"github.com/yardbridge/yardbridge/modules/silence"
 )
 
-// TestASilentConnectionToANodeIsReset: what the other node has not read yet is lost, and
-// not carried out later, when nobody waits for it any more.
-func TestASilentConnectionToANodeIsReset(t *testing.T) {
+// TestUnresponsiveConnectionIsReset checks that data which the other node has not read yet is lost
+// with the connection, so that it is not executed later, when no caller waits for it any more.
+func TestUnresponsiveConnectionIsReset(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close() //nolint:errcheck // the test is over
@@ -33,9 +33,9 @@
 	assert.ErrorIs(t, err, syscall.ECONNRESET)
 }
 
-// TestTimeToComeBackPassesBetweenNodes: a caller is told it by whichever node the call
-// came to.
-func TestTimeToComeBackPassesBetweenNodes(t *testing.T) {
+// TestRetryAfterIsPassedBetweenNodes checks that a caller gets the time after which to retry from
+// whichever node handled the call.
+func TestRetryAfterIsPassedBetweenNodes(t *testing.T) {
 	e := errkind.Of(kindOf(codeOf(errkind.NewRetry(errkind.Overloaded, 3*time.Second, "full"))))
 	assert.Equal(t, e.Kind, errkind.Overloaded)
 	assert.Equal(t, e.RetryDelay(), 3*time.Second)
--- a/adapters/noderpc/doc.go
+++ b/adapters/noderpc/doc.go
@@ -1,5 +1,5 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package noderpc carries calls between nodes over jsonrpc2 on TCP.
+// Package noderpc transports calls between nodes over jsonrpc2 on TCP.
 package noderpc
--- a/adapters/noderpc/server.go
+++ b/adapters/noderpc/server.go
@@ -16,20 +16,20 @@
 	"github.com/yardbridge/yardbridge/modules/rpcconn"
 )
 
-// HandlerFunc answers one method; it gets the parameters as they came.
+// HandlerFunc handles the calls of one method; it gets the encoded parameters.
 type HandlerFunc func(ctx context.Context, params json.RawMessage) (any, error)
 
-// Server takes the calls of other nodes; its fields are set before Listen.
+// Server handles the calls of other nodes; its fields are set before Listen.
 type Server struct {
 	Methods map[string]HandlerFunc
 	Logger  log.Logger
-	// OpenListener opens the address; nil does over TCP.
+	// OpenListener opens a listener at an address; nil opens one over TCP.
 	OpenListener func(address string) (net.Listener, error)
 
 	listener net.Listener
 }
 
-// Handle returns a method whose parameters are of a type.
+// Handle returns a HandlerFunc that decodes the parameters into a type.
 func Handle[P any](do func(ctx context.Context, params P) (any, error)) HandlerFunc {
 	return func(ctx context.Context, raw json.RawMessage) (any, error) {
 		var params P
@@ -40,7 +40,7 @@
 	}
 }
 
-// Listen opens the address and returns the one it got.
+// Listen opens the address and returns the actual one.
 func (s *Server) Listen(address string) (string, error) {
 	open := s.OpenListener
 	if open == nil {
@@ -54,13 +54,13 @@
 	return l.Addr().String(), nil
 }
 
-// Run takes connections until the context ends.
+// Run accepts connections until the context ends.
 func (s *Server) Run(ctx context.Context) {
 	wrap := func(_ context.Context, raw net.Conn) (net.Conn, error) { return boundedConn{raw}, nil }
 	(&rpcconn.Server{Wrap: wrap, Handle: s.handle, Logger: &s.Logger}).Run(ctx, s.listener)
 }
 
-// handle answers one call.
+// handle handles one call.
 func (s *Server) handle(ctx context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
 	method := s.Methods[r.Method]
 	if method == nil || r.Params == nil {
--- a/adapters/peerrpc/client.go
+++ b/adapters/peerrpc/client.go
@@ -21,14 +21,14 @@
 	"github.com/yardbridge/yardbridge/services/slots"
 )
 
-// dialTimeout bounds the time to connect to a peer.
+// dialTimeout is the longest time to connect to a peer.
 const dialTimeout = time.Second
 
 // Client calls other entries; it keeps one connection to each.
 type Client struct {
 	// Address returns an entry's address for peers, "" for none.
 	Address func(entry string) string
-	// TLS returns the settings of a new connection; nil for none.
+	// TLS returns the TLS settings of a new connection; nil disables TLS.
 	TLS     func() (*tls.Config, error)
 	Metrics *metrics.Set
 	Logger  log.Logger
@@ -37,7 +37,7 @@
 	conns rpcconn.Client
 }
 
-// table returns the connections, set up at the first use.
+// table returns the table of connections, which is initialized at the first use.
 func (c *Client) table() *rpcconn.Client {
 	c.once.Do(func() { c.conns.Dial, c.conns.Logger = c.dial, &c.Logger })
 	return &c.conns
@@ -68,8 +68,8 @@
 	return secure, nil
 }
 
-// call sends a message to an entry; a nil result sends it without an answer.
-// A connection that has failed a call is not used again.
+// call sends a message to an entry; with a nil result it does not wait for a response. A connection
+// on which a call has failed is not used again.
 func (c *Client) call(ctx context.Context, entry, method string, params, result any) error {
 	address := c.Address(entry)
 	if address == "" {
@@ -88,40 +88,40 @@
 	return errors.Annotatef(err, "%s at %s", method, address)
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() { c.table().Close() }
 
-// Exchange sends a slots exchange.
+// Exchange sends a slots exchange and returns the response.
 func (c *Client) Exchange(ctx context.Context, entry string, x slots.Exchange) (slots.ExchangeResponse, error) {
 	var g slots.ExchangeResponse
 	err := c.call(ctx, entry, methodExchange, x, &g)
 	return g, err
 }
 
-// Notify sends a poke.
+// Notify sends a notification about slots.
 func (c *Client) Notify(ctx context.Context, entry string, p slots.Notification) error {
-	return c.call(ctx, entry, methodPoke, p, nil)
+	return c.call(ctx, entry, methodNotify, p, nil)
 }
 
-// Probe sends a probe and returns the answer.
+// Probe sends a probe and returns the response.
 func (c *Client) Probe(ctx context.Context, entry string, m members.Message) (members.Message, error) {
-	var answer members.Message
-	err := c.call(ctx, entry, methodProbe, m, &answer)
-	return answer, err
+	var response members.Message
+	err := c.call(ctx, entry, methodProbe, m, &response)
+	return response, err
 }
 
-// ProbeIndirectly has a helper probe an entry; it returns nil if that answered.
+// ProbeIndirectly has a helper probe an entry; it returns nil if the entry responded.
 func (c *Client) ProbeIndirectly(ctx context.Context, helper, entry string) error {
 	var nothing struct{}
-	return c.call(ctx, helper, methodHelp, IndirectProbeRequest{Entry: entry}, &nothing)
+	return c.call(ctx, helper, methodProbeIndirectly, IndirectProbeRequest{Entry: entry}, &nothing)
 }
 
-// AnnounceLeaving tells which targets leave.
+// AnnounceLeaving announces to an entry which targets leave.
 func (c *Client) AnnounceLeaving(ctx context.Context, entry string, workers []string) error {
 	return c.call(ctx, entry, methodLeaving, LeavingMessage{IDs: workers}, nil)
 }
 
-// Relay asks for records from an offset on.
+// Relay returns an entry's records from an offset on.
 func (c *Client) Relay(ctx context.Context, entry string, from uint64) (RelayResponse, error) {
 	var a RelayResponse
 	err := c.call(ctx, entry, methodRelay, RelayRequest{From: from}, &a)
@@ -134,17 +134,17 @@
 	return c.call(ctx, entry, methodAppend, AppendRequest{Data: data}, &nothing)
 }
 
-// StateAt asks the entry at an address for its whole state.
+// StateAt returns the complete state of the entry at an address.
 func (c *Client) StateAt(ctx context.Context, address string) (StateResponse, error) {
 	var a StateResponse
-	err := c.callAddress(ctx, address, methodWhole, struct{}{}, &a)
+	err := c.callAddress(ctx, address, methodState, struct{}{}, &a)
 	return a, err
 }
 
-// AwaitMark waits for a while until an entry has folded the log up to a mark, and
-// returns whether it has.
+// AwaitMark waits for a limited time until an entry has folded the log up to a mark, and returns
+// whether it has.
 func (c *Client) AwaitMark(ctx context.Context, entry string, m state.Position) (bool, error) {
 	var a AwaitMarkResponse
-	err := c.call(ctx, entry, methodReached, m, &a)
+	err := c.call(ctx, entry, methodAwaitMark, m, &a)
 	return a.Reached, err
 }
--- a/adapters/peerrpc/message.go
+++ b/adapters/peerrpc/message.go
@@ -13,41 +13,41 @@
 	"github.com/yardbridge/yardbridge/services/slots"
 )
 
-// The methods between entries.
+// Methods between entries.
 const (
-	methodExchange = "slots.exchange"
-	methodPoke     = "slots.poke"
-	methodProbe    = "members.probe"
-	methodHelp     = "members.help"
-	methodLeaving  = "targets.leaving"
-	methodRelay    = "log.relay"
-	methodAppend   = "log.append"
-	methodWhole    = "log.whole"
-	methodReached  = "log.reached"
+	methodExchange        = "slots.exchange"
+	methodNotify          = "slots.poke"
+	methodProbe           = "members.probe"
+	methodProbeIndirectly = "members.help"
+	methodLeaving         = "targets.leaving"
+	methodRelay           = "log.relay"
+	methodAppend          = "log.append"
+	methodState           = "log.whole"
+	methodAwaitMark       = "log.reached"
 )
 
-// LeavingMessage names workers.
+// LeavingMessage lists the workers of targets that leave.
 type LeavingMessage struct {
 	IDs []string `json:"ids"`
 }
 
-// IndirectProbeRequest asks to probe an entry.
+// IndirectProbeRequest requests a probe of an entry.
 type IndirectProbeRequest struct {
 	Entry string `json:"entry"`
 }
 
-// RelayRequest asks for records from an offset on.
+// RelayRequest requests records from an offset on.
 type RelayRequest struct {
 	From uint64 `json:"from"`
 }
 
-// RelayResponse holds records and the age of the peer's contact with the log.
+// RelayResponse holds records and the time since the peer's last contact with the log.
 type RelayResponse struct {
 	Records    []record.Stored `json:"records,omitempty"`
 	ContactAge time.Duration   `json:"age"` // nanoseconds
 }
 
-// AppendRequest asks a peer to append a batch of the asking process.
+// AppendRequest requests that a peer append a batch of the requesting process.
 type AppendRequest struct {
 	Data []byte `json:"data"`
 }
@@ -57,12 +57,12 @@
 	Data []byte `json:"data"`
 }
 
-// AwaitMarkResponse says whether an entry has folded the log up to a mark.
+// AwaitMarkResponse reports whether an entry has folded the log up to a mark.
 type AwaitMarkResponse struct {
 	Reached bool `json:"reached"`
 }
 
-// Handlers are what an entry does on each message; all must be set.
+// Handlers handle the messages of other entries; all must be set.
 type Handlers struct {
 	Exchange        func(slots.Exchange) slots.ExchangeResponse
 	Notify          func(slots.Notification)
--- a/adapters/peerrpc/server.go
+++ b/adapters/peerrpc/server.go
@@ -20,7 +20,7 @@
 	"github.com/yardbridge/yardbridge/services/slots"
 )
 
-// Server takes the messages of other entries.
+// Server handles the messages of other entries.
 type Server struct {
 	Handlers Handlers
 	TLS      *tls.Config // nil for none
@@ -30,7 +30,7 @@
 	listener net.Listener
 }
 
-// Listen opens the address and returns the one it got.
+// Listen opens the address and returns the actual one.
 func (s *Server) Listen(address string) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -40,12 +40,12 @@
 	return l.Addr().String(), nil
 }
 
-// Run takes connections until the context ends.
+// Run accepts connections until the context ends.
 func (s *Server) Run(ctx context.Context) {
 	(&rpcconn.Server{Wrap: s.secure, Handle: s.handle, Logger: &s.Logger}).Run(ctx, s.listener)
 }
 
-// secure returns a counted connection, with TLS where that is set.
+// secure returns a counted connection, with TLS if that is configured.
 func (s *Server) secure(ctx context.Context, raw net.Conn) (net.Conn, error) {
 	conn := s.Metrics.CountPeer(raw)
 	if s.TLS == nil {
@@ -53,40 +53,40 @@
 	}
 	secure := tls.Server(conn, s.TLS)
 	if err := secure.HandshakeContext(ctx); err != nil {
-		s.Logger.Warn().Err(err).Str("from", raw.RemoteAddr().String()).Msg("peer refused")
+		s.Logger.Warn().Err(err).Str("from", raw.RemoteAddr().String()).Msg("TLS handshake with a peer failed")
 		return nil, err
 	}
 	return secure, nil
 }
 
-// handle answers one message.
+// handle handles one message.
 func (s *Server) handle(ctx context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
 	h := s.Handlers
 	switch r.Method {
 	case methodExchange:
-		return handled(r, func(x slots.Exchange) (any, error) { return h.Exchange(x), nil })
-	case methodPoke:
-		return handled(r, func(p slots.Notification) (any, error) { h.Notify(p); return nil, nil })
+		return handleParams(r, func(x slots.Exchange) (any, error) { return h.Exchange(x), nil })
+	case methodNotify:
+		return handleParams(r, func(p slots.Notification) (any, error) { h.Notify(p); return nil, nil })
 	case methodProbe:
-		return handled(r, func(m members.Message) (any, error) { return h.Probe(m), nil })
-	case methodHelp:
-		return handled(r, func(a IndirectProbeRequest) (any, error) { return nil, h.ProbeIndirectly(ctx, a.Entry) })
+		return handleParams(r, func(m members.Message) (any, error) { return h.Probe(m), nil })
+	case methodProbeIndirectly:
+		return handleParams(r, func(a IndirectProbeRequest) (any, error) { return nil, h.ProbeIndirectly(ctx, a.Entry) })
 	case methodLeaving:
-		return handled(r, func(w LeavingMessage) (any, error) { h.Leaving(w.IDs); return nil, nil })
+		return handleParams(r, func(w LeavingMessage) (any, error) { h.Leaving(w.IDs); return nil, nil })
 	case methodRelay:
-		return handled(r, func(a RelayRequest) (any, error) { return h.Relay(a.From), nil })
+		return handleParams(r, func(a RelayRequest) (any, error) { return h.Relay(a.From), nil })
 	case methodAppend:
-		return handled(r, func(a AppendRequest) (any, error) { return nil, h.Append(ctx, a.Data) })
-	case methodWhole:
+		return handleParams(r, func(a AppendRequest) (any, error) { return nil, h.Append(ctx, a.Data) })
+	case methodState:
 		return h.State()
-	case methodReached:
-		return handled(r, func(m state.Position) (any, error) { return h.AwaitMark(ctx, m), nil })
+	case methodAwaitMark:
+		return handleParams(r, func(m state.Position) (any, error) { return h.AwaitMark(ctx, m), nil })
 	}
 	return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: r.Method}
 }
 
-// handled reads the message's parameters and calls its handler.
-func handled[T any](r *jsonrpc2.Request, do func(T) (any, error)) (any, error) {
+// handleParams decodes the message's parameters and calls its handler.
+func handleParams[T any](r *jsonrpc2.Request, do func(T) (any, error)) (any, error) {
 	var v T
 	if r.Params == nil {
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: "no parameters"}
--- a/adapters/peerrpc/tls_test.go
+++ b/adapters/peerrpc/tls_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// issue writes a fresh key pair and the authority into a folder.
+// issue writes a new key pair and the authority's certificate into a folder.
 func (a *authority) issue(t *testing.T, dir string) tlsconf.Files {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -86,7 +86,7 @@
 	return s
 }
 
-// serve runs a server that answers probes, and returns its address.
+// serve runs a server that responds to probes, and returns its address.
 func serve(t *testing.T, config *tls.Config) string {
 	t.Helper()
 	s := &Server{TLS: config, Logger: log.Nop()}
@@ -99,7 +99,7 @@
 	return address
 }
 
-// probe calls a server with the settings of a connection, nil for no TLS.
+// probe probes a server with the TLS settings of a connection, nil for no TLS.
 func probe(t *testing.T, address string, config func() (*tls.Config, error)) error {
 	t.Helper()
 	c := &Client{Address: func(string) string { return address }, TLS: config, Logger: log.Nop()}
@@ -110,17 +110,17 @@
 	return err
 }
 
-func TestOnlyEntriesAreTaken(t *testing.T) {
+func TestOnlyEntriesAreAccepted(t *testing.T) {
 	good, other := newAuthority(t), newAuthority(t)
 	address := serve(t, source(t, good.issue(t, t.TempDir())).Server())
 	assert.NilError(t, probe(t, address, source(t, good.issue(t, t.TempDir())).Client))
-	assert.Assert(t, probe(t, address, source(t, other.issue(t, t.TempDir())).Client) != nil, "a stranger's certificate was taken")
-	assert.Assert(t, probe(t, address, nil) != nil, "a connection without TLS was taken")
+	assert.Assert(t, probe(t, address, source(t, other.issue(t, t.TempDir())).Client) != nil, "a certificate of another authority was accepted")
+	assert.Assert(t, probe(t, address, nil) != nil, "a connection without TLS was accepted")
 	assert.Assert(t, probe(t, address, func() (*tls.Config, error) {
 		config, err := source(t, good.issue(t, t.TempDir())).Client()
 		config.Certificates = nil
 		return config, err
-	}) != nil, "a peer without a certificate was taken")
+	}) != nil, "a peer without a certificate was accepted")
 }
 
 func TestKeysAreRenewedWithoutRestart(t *testing.T) {
@@ -137,8 +137,8 @@
 		}
 	}
 	assert.NilError(t, probe(t, address, client.Client))
-	assert.Assert(t, probe(t, address, source(t, old.issue(t, t.TempDir())).Client) != nil, "the former authority is still trusted")
-	// Files that can't be used leave the former ones in force.
+	assert.Assert(t, probe(t, address, source(t, old.issue(t, t.TempDir())).Client) != nil, "the previous authority is still trusted")
+	// Unusable files leave the previous ones in force.
 	assert.NilError(t, os.WriteFile(filepath.Join(serverDir, "cert.pem"), []byte("broken"), 0o600))
 	assert.NilError(t, probe(t, address, client.Client))
 }
--- a/adapters/platformhttp/client.go
+++ b/adapters/platformhttp/client.go
@@ -22,17 +22,17 @@
 	"github.com/yardbridge/yardbridge/services/platform"
 )
 
-// maxAnswerBytes bounds what is read of one answer of the platform.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes is the largest part of one response of the platform that is read.
+const maxResponseBytes = 64 << 20
 
-// Client calls the platform at a base URL; its zero value calls nobody.
+// Client calls the platform at a base URL.
 type Client struct {
 	Base string // such as http://127.0.0.1:7700
 	Name string // of this process
 	HTTP http.Client
 }
 
-// New returns a client whose bytes are counted in the set, which may be nil.
+// New returns a client whose transferred bytes are counted in the set, which may be nil.
 func New(base, name string, m *metrics.Set) *Client {
 	var dialer net.Dialer
 	transport := &http.Transport{
@@ -67,11 +67,11 @@
 	if err != nil {
 		return 0, err
 	}
-	var answer AppendResponse
-	if err := json.Unmarshal(body, &answer); err != nil {
-		return 0, errkind.New(errkind.OutcomeUnknown, "unreadable answer of the log: %v", err)
+	var response AppendResponse
+	if err := json.Unmarshal(body, &response); err != nil {
+		return 0, errkind.New(errkind.OutcomeUnknown, "unreadable response of the log: %v", err)
 	}
-	return answer.Offset, nil
+	return response.Offset, nil
 }
 
 func (c *Client) read(ctx context.Context, from uint64, wait time.Duration) (platform.Page, error) {
@@ -103,8 +103,8 @@
 	return c.post(ctx, workerPath(t.Worker, "start"), t)
 }
 
-func (c *Client) renew(ctx context.Context, worker string, ids []string, life time.Duration) error {
-	return c.post(ctx, workerPath(worker, "renew"), RenewRequest{IDs: ids, LeaseTTL: life})
+func (c *Client) renew(ctx context.Context, worker string, ids []string, ttl time.Duration) error {
+	return c.post(ctx, workerPath(worker, "renew"), RenewRequest{IDs: ids, LeaseTTL: ttl})
 }
 
 func (c *Client) stop(ctx context.Context, worker, id string, checkpoint bool) error {
@@ -137,34 +137,34 @@
 	return err
 }
 
-// call sends one request; an error of kind LogUnavailable or OutcomeUnknown
-// leaves open whether it took effect.
+// call sends one request; after an error of the kind LogUnavailable or OutcomeUnknown it may have
+// taken effect.
 func (c *Client) call(ctx context.Context, method, path string, data []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.Base+path, bytes.NewReader(data))
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	request.Header.Set(HeaderClient, c.Name)
-	answer, err := c.HTTP.Do(request)
+	response, err := c.HTTP.Do(request)
 	if err != nil {
 		return nil, errkind.New(errkind.LogUnavailable, "platform: %v", err)
 	}
-	defer answer.Body.Close() //nolint:errcheck // read to its end below
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
+	defer response.Body.Close() //nolint:errcheck // read to its end below
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, errkind.New(errkind.OutcomeUnknown, "platform: %v", err)
 	}
-	if answer.StatusCode == http.StatusOK {
+	if response.StatusCode == http.StatusOK {
 		return body, nil
 	}
-	return nil, refusal(answer, body)
+	return nil, responseError(response, body)
 }
 
-// refusal keeps the kind that the platform's answer names.
-func refusal(answer *http.Response, body []byte) error {
-	kind, ok := errkind.Parse(answer.Header.Get(errkind.HeaderKind))
+// responseError returns an error of the kind that the platform's response names.
+func responseError(response *http.Response, body []byte) error {
+	kind, ok := errkind.Parse(response.Header.Get(errkind.HeaderKind))
 	if !ok {
 		kind = errkind.OutcomeUnknown
 	}
-	return errkind.New(kind, "platform answered %d: %.200s", answer.StatusCode, bytes.TrimSpace(body))
+	return errkind.New(kind, "platform responded with status %d: %.200s", response.StatusCode, bytes.TrimSpace(body))
 }
--- a/adapters/platformhttp/doc.go
+++ b/adapters/platformhttp/doc.go
@@ -1,5 +1,5 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package platformhttp reaches the platform over HTTP.
+// Package platformhttp calls the platform over HTTP.
 package platformhttp
--- a/adapters/platformhttp/wire.go
+++ b/adapters/platformhttp/wire.go
@@ -10,7 +10,7 @@
 	"github.com/yardbridge/yardbridge/services/platform"
 )
 
-// HeaderClient names the process that calls the platform.
+// HeaderClient is the header with the name of the calling process.
 const HeaderClient = "X-Client"
 
 // Page is the wire form of a page of the log.
@@ -36,7 +36,7 @@
 	return w
 }
 
-// ToPlatform returns the page in the core's form.
+// ToPlatform returns the page as a platform.Page.
 func (p Page) ToPlatform() platform.Page {
 	c := platform.Page{First: p.First, Next: p.Next}
 	for _, r := range p.Records {
@@ -45,24 +45,24 @@
 	return c
 }
 
-// AppendResponse is the answer to an append.
+// AppendResponse is the response to an append.
 type AppendResponse struct {
 	Offset uint64 `json:"offset"`
 }
 
-// RenewRequest is the body that renews the leases of tasks.
+// RenewRequest is the body of a request to renew the leases of tasks.
 type RenewRequest struct {
 	IDs      []string      `json:"ids"`
 	LeaseTTL time.Duration `json:"life"` // nanoseconds
 }
 
-// StopRequest is the body that stops a task.
+// StopRequest is the body of a request to stop a task.
 type StopRequest struct {
 	ID         string `json:"id"`
 	Checkpoint bool   `json:"checkpoint"`
 }
 
-// ThrottleRequest is the body that throttles a task.
+// ThrottleRequest is the body of a request to throttle a task.
 type ThrottleRequest struct {
 	ID    string `json:"id"`
 	Cores int    `json:"cores"`
