--- a/cmd/apply.go
+++ b/cmd/apply.go
@@ -16,7 +16,7 @@
 	"github.com/yardbridge/yardbridge/services/rollout"
 )
 
-// fileFlags are those of plan and apply.
+// fileFlags are the flags of plan and apply.
 type fileFlags struct {
 	base  int64
 	short bool
@@ -29,7 +29,7 @@
 	return f
 }
 
-// send sends a declarative file to an action of the API.
+// send sends a declarative file to an endpoint of the API.
 func (f *fileFlags) send(ctx context.Context, api *client, action, name string) (rollout.Result, []byte, error) {
 	data, err := readFile(ctx, name)
 	if err != nil {
@@ -55,19 +55,19 @@
 	if err != nil {
 		return err
 	}
-	api.show(c, data, func() {
-		c.say("version %d, %d objects changed", result.Version, len(result.Changed))
-		sayPreview(c, result)
+	api.print(c, data, func() {
+		c.printLine("version %d, %d objects changed", result.Version, len(result.Changed))
+		printPreview(c, result)
 		if result.InForce {
-			c.say("in force on every entry")
+			c.printLine("in force on every entry")
 		} else {
-			c.say("accepted, but not yet in force on: %s", strings.Join(result.Lagging, ", "))
+			c.printLine("accepted, but not yet in force on: %s", strings.Join(result.Lagging, ", "))
 		}
 	})
 	return nil
 }
 
-// runPlan shows what a file would do.
+// runPlan shows what a file would change.
 func runPlan(ctx context.Context, c console, flags *flag.FlagSet, args []string) error {
 	api, file := clientFlags(flags), defineFileFlags(flags)
 	if err := parse(flags, args, "[flags] FILE", 1, 1); err != nil {
@@ -77,42 +77,42 @@
 	if err != nil {
 		return err
 	}
-	api.show(c, data, func() {
-		c.say("against version %d", result.Version)
-		sayPreview(c, result)
-		sayCalendar(c, result.Calendar)
+	api.print(c, data, func() {
+		c.printLine("against version %d", result.Version)
+		printPreview(c, result)
+		printCalendar(c, result.Calendar)
 	})
 	return nil
 }
 
-func sayPreview(c console, r rollout.Result) {
+func printPreview(c console, r rollout.Result) {
 	for _, o := range r.Changed {
-		c.say("  changes %s", o)
+		c.printLine("  changes %s", o)
 	}
 	for _, m := range r.Preview.Moves {
-		c.say("  moves   %s from %s to %s", m.Worker, m.From, m.To)
+		c.printLine("  moves   %s from %s to %s", m.Worker, m.From, m.To)
 	}
 	for _, s := range r.Preview.Shortages {
-		c.say("  short   pool %s: %d of %d (%s)", s.Pool, s.Present, s.Wanted, s.Reason)
+		c.printLine("  short   pool %s: %d of %d (%s)", s.Pool, s.Present, s.Wanted, s.Reason)
 	}
-	c.say("  %d moves; %d instances beyond what must stay available", len(r.Preview.Moves), r.Preview.Buffer)
+	c.printLine("  %d moves; %d instances beyond what must stay available", len(r.Preview.Moves), r.Preview.Buffer)
 }
 
-// calendarRows is how many racks of the calendar are shown to a person; -json
-// has them all.
+// calendarRows is the number of racks of the calendar that are printed as text; -json has all of
+// them.
 const calendarRows = 12
 
-func sayCalendar(c console, calendar []pools.RackDue) {
+func printCalendar(c console, calendar []pools.RackDue) {
 	if len(calendar) == 0 {
 		return
 	}
-	c.say("  maintenance, by rack:")
+	c.printLine("  maintenance, by rack:")
 	for _, d := range calendar[:min(calendarRows, len(calendar))] {
-		c.say("    %s %s: %d instances, from %s, by %s", d.DataCenter, d.Rack, d.Instances, sayTime(d.From), sayTime(d.By))
+		c.printLine("    %s %s: %d instances, from %s, by %s", d.DataCenter, d.Rack, d.Instances, formatTime(d.From), formatTime(d.By))
 	}
 	if more := len(calendar) - calendarRows; more > 0 {
-		c.say("    and %d more racks", more)
+		c.printLine("    and %d more racks", more)
 	}
 }
 
-func sayTime(t time.Time) string { return t.UTC().Format("2006-01-02 15:04") }
+func formatTime(t time.Time) string { return t.UTC().Format("2006-01-02 15:04") }
--- a/cmd/client.go
+++ b/cmd/client.go
@@ -22,7 +22,7 @@
 	"github.com/yardbridge/yardbridge/routers/apiv1"
 )
 
-// Environment variables that stand in for flags.
+// Environment variables that replace flags.
 const (
 	envServer = "YARDBRIDGE_SERVER"
 	envToken  = "YARDBRIDGE_TOKEN"
@@ -56,8 +56,7 @@
 	return fallback
 }
 
-// call sends a request and returns the answer's body, or the error that the
-// API answered.
+// call sends a request and returns the body of the response, or the error that the API returned.
 func (c *client) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
@@ -66,22 +65,22 @@
 		return nil, usageError{err.Error()}
 	}
 	request.Header.Set("Authorization", bearer.Scheme+" "+c.token)
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, sendError(err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	data, err := io.ReadAll(answer.Body)
+	defer func() { _ = response.Body.Close() }()
+	data, err := io.ReadAll(response.Body)
 	if err != nil {
 		return nil, errkind.New(errkind.OutcomeUnknown, "%v", err)
 	}
-	if answer.StatusCode != http.StatusOK {
-		return nil, apiError(answer, data)
+	if response.StatusCode != http.StatusOK {
+		return nil, apiError(response, data)
 	}
 	return data, nil
 }
 
-// sendError tells an entry that can't be reached from one that did not answer.
+// sendError distinguishes an entry that can't be reached from one that did not respond.
 func sendError(err error) error {
 	var op *net.OpError
 	if stderrors.As(err, &op) && op.Op == "dial" {
@@ -90,19 +89,19 @@
 	return errkind.New(errkind.OutcomeUnknown, "%v", err)
 }
 
-// apiError turns the API's answer into the error that it states.
-func apiError(answer *http.Response, data []byte) error {
+// apiError returns the error of an API response.
+func apiError(response *http.Response, data []byte) error {
 	body := struct {
 		Message string `json:"message"`
 	}{}
-	kind, ok := errkind.Parse(answer.Header.Get(errkind.HeaderKind))
+	kind, ok := errkind.Parse(response.Header.Get(errkind.HeaderKind))
 	if !ok || json.Unmarshal(data, &body) != nil {
-		return errkind.New(errkind.Internal, "%s: %.200s", answer.Status, data)
+		return errkind.New(errkind.Internal, "%s: %.200s", response.Status, data)
 	}
 	return errkind.New(kind, "%s", body.Message)
 }
 
-// fetch calls the API and reads the answer.
+// fetch calls the API and decodes the response.
 func fetch[T any](ctx context.Context, c *client, method, path string, body []byte) (T, []byte, error) {
 	var v T
 	data, err := c.call(ctx, method, path, body)
@@ -112,11 +111,11 @@
 	return v, data, errors.Trace(json.Unmarshal(data, &v))
 }
 
-// show writes the answer as JSON if asked for, and else by a function.
-func (c *client) show(out console, data []byte, person func()) {
+// print prints the response as JSON if requested, and otherwise by a function.
+func (c *client) print(out console, data []byte, asText func()) {
 	if c.json {
-		out.say("%s", bytes.TrimSpace(data))
+		out.printLine("%s", bytes.TrimSpace(data))
 		return
 	}
-	person()
+	asText()
 }
--- a/cmd/cmd.go
+++ b/cmd/cmd.go
@@ -18,35 +18,34 @@
 	"github.com/yardbridge/yardbridge/modules/signals"
 )
 
-// Exit codes of every subcommand.
+// Exit codes of all subcommands.
 const (
 	ExitOK     = 0
 	ExitFailed = 1
 	ExitUsage  = 2
 )
 
-// console is where a subcommand writes, and what tells it of signals.
+// console holds the outputs of a subcommand and the handler of its signals.
 type console struct {
 	out     io.Writer
 	err     io.Writer
-	lines   *log.AsyncWriter // the log, on the second output unless the command has its own
-	signals *watch
+	lines   *log.AsyncWriter // the log, written to err unless the command has its own
+	signals *signalHandler
 }
 
-// command is one subcommand; run defines its flags on the set, parses the
-// arguments with it and does the work. Its context ends with the first signal that
-// asks for a stop.
+// command is one subcommand. Its run function defines its flags on the set, parses the arguments
+// with it and does the work. Its context ends with the first signal that requests a stop.
 type command struct {
-	name    string
-	summary string
-	process bool // it runs until it is asked to stop
-	run     func(ctx context.Context, c console, flags *flag.FlagSet, args []string) error
+	name        string
+	summary     string
+	longRunning bool // it runs until it is stopped
+	run         func(ctx context.Context, c console, flags *flag.FlagSet, args []string) error
 }
 
-// usageError is a wrong command line.
+// usageError is an error of the command line.
 type usageError struct{ message string }
 
-// Error returns what is wrong with the command line.
+// Error returns the message of the error.
 func (e usageError) Error() string { return e.message }
 
 func commands() []command {
@@ -72,7 +71,7 @@
 	lines := &log.AsyncWriter{Output: errOut}
 	defer lines.Flush()
 	logger, err := log.New(lines, "info", "yardbridge")
-	if err != nil { // the level is one of the list
+	if err != nil { // can't happen, since the level is a known one
 		_, _ = fmt.Fprintln(errOut, err)
 		return ExitFailed
 	}
@@ -91,7 +90,7 @@
 			return c.run(ctx, k, args[1:])
 		}
 	}
-	c.complain(fmt.Sprintf("yardbridge: %q is no subcommand", args[0]))
+	c.printError(fmt.Sprintf("yardbridge: %q is no subcommand", args[0]))
 	usage(errOut)
 	return ExitUsage
 }
@@ -99,7 +98,7 @@
 func (c console) run(ctx context.Context, k command, args []string) int {
 	flags := flag.NewFlagSet("yardbridge "+k.name, flag.ContinueOnError)
 	flags.SetOutput(c.err)
-	if k.process {
+	if k.longRunning {
 		signals.IgnoreSIGPIPE()
 	} else {
 		c.signals.serving(nil, nil)
@@ -107,20 +106,20 @@
 	err := k.run(ctx, c, flags, args)
 	var wrong usageError
 	switch {
-	case k.process && stderrors.Is(err, context.Canceled):
-		return ExitOK // it was asked to stop before it served
+	case k.longRunning && stderrors.Is(err, context.Canceled):
+		return ExitOK // stopped before it served
 	case err != nil && ctx.Err() != nil:
-		c.complain("yardbridge " + k.name + ": stopped by a signal: " + errkind.Of(err).Error())
+		c.printError("yardbridge " + k.name + ": stopped by a signal: " + errkind.Of(err).Error())
 		return ExitFailed
 	case err == nil || stderrors.Is(err, flag.ErrHelp):
 		return ExitOK
 	case stderrors.As(err, &wrong):
 		if wrong.message != "" {
-			c.complain("yardbridge " + k.name + ": " + wrong.message)
+			c.printError("yardbridge " + k.name + ": " + wrong.message)
 		}
 		return ExitUsage
 	}
-	c.complain("yardbridge " + k.name + ": " + errkind.Of(err).Error())
+	c.printError("yardbridge " + k.name + ": " + errkind.Of(err).Error())
 	return ExitFailed
 }
 
@@ -134,9 +133,9 @@
 	return read(ctx, "settings", name)
 }
 
-// read reads a file until the context ends; what says what an error is about.
+// read reads a file unless the context ends first; what is the subject of its errors.
 func read(ctx context.Context, what, name string) ([]byte, error) {
-	f := &file{name: name, read: make(chan struct{})}
+	f := &fileRead{name: name, read: make(chan struct{})}
 	go f.run()
 	select {
 	case <-f.read:
@@ -149,34 +148,36 @@
 	return f.data, nil
 }
 
-// file is a file that is being read, which may take for ever: it may be a pipe, or on
-// a disk that does not answer.
-type file struct {
+// fileRead is the reading of a file. It may block forever, since the file may be a pipe, or on a
+// disk that does not respond.
+type fileRead struct {
 	name string
 	data []byte
 	err  error
-	read chan struct{} // closed once it is
+	read chan struct{} // closed when the read is complete
 }
 
 // run reads the file.
-func (f *file) run() {
+func (f *fileRead) run() {
 	defer close(f.read)
 	f.data, f.err = os.ReadFile(f.name)
 }
 
-// counted says how many there are of something.
-func counted(n int, what string) string {
+// countOf returns a number with its noun, in the plural unless it is one.
+func countOf(n int, what string) string {
 	if n == 1 {
 		return "1 " + what
 	}
 	return fmt.Sprintf("%d %ss", n, what)
 }
 
-// complain writes a line for a person; one that can't be written is lost.
-func (c console) complain(line string) { _, _ = fmt.Fprintln(c.err, line) }
+// printError prints an error message; write errors are ignored.
+func (c console) printError(line string) { _, _ = fmt.Fprintln(c.err, line) }
 
-// say writes a formatted line of output.
-func (c console) say(format string, args ...any) { _, _ = fmt.Fprintf(c.out, format+"\n", args...) }
+// printLine prints a formatted line to the output.
+func (c console) printLine(format string, args ...any) {
+	_, _ = fmt.Fprintf(c.out, format+"\n", args...)
+}
 
 func usage(w io.Writer) {
 	_, _ = fmt.Fprintln(w, "usage: yardbridge SUBCOMMAND [flags] [arguments]")
@@ -186,8 +187,7 @@
 	_, _ = fmt.Fprintln(w, "yardbridge SUBCOMMAND -h shows the flags.")
 }
 
-// parse reads flags and checks the number of arguments that are left; a most
-// of -1 is no bound.
+// parse parses the flags and checks the number of remaining arguments; a most of -1 means no limit.
 func parse(flags *flag.FlagSet, args []string, usage string, least, most int) error {
 	flags.Usage = func() {
 		_, _ = fmt.Fprintf(flags.Output(), "usage: %s %s\n", flags.Name(), usage)
@@ -197,7 +197,7 @@
 		if stderrors.Is(err, flag.ErrHelp) {
 			return err
 		}
-		return usageError{} // the flag package has said what is wrong
+		return usageError{} // the flag package has printed the error
 	}
 	n := flags.NArg()
 	if n < least || most >= 0 && n > most {
--- a/cmd/doc.go
+++ b/cmd/doc.go
@@ -1,5 +1,5 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package cmd holds the subcommands of yardbridge, one a file.
+// Package cmd implements the subcommands of yardbridge, one in each file.
 package cmd
--- a/cmd/dump.go
+++ b/cmd/dump.go
@@ -9,7 +9,7 @@
 	"net/http"
 )
 
-// runDump shows the state of an entry process.
+// runDump prints the state of an entry process.
 func runDump(ctx context.Context, c console, flags *flag.FlagSet, args []string) error {
 	api := clientFlags(flags)
 	if err := parse(flags, args, "[flags]", 0, 0); err != nil {
@@ -19,6 +19,6 @@
 	if err != nil {
 		return err
 	}
-	c.say("%s", data)
+	c.printLine("%s", data)
 	return nil
 }
--- a/cmd/get.go
+++ b/cmd/get.go
@@ -11,7 +11,7 @@
 	"github.com/yardbridge/yardbridge/routers/apiv1"
 )
 
-// runGet shows declared objects or instances.
+// runGet prints declared objects or instances.
 func runGet(ctx context.Context, c console, flags *flag.FlagSet, args []string) error {
 	api := clientFlags(flags)
 	if err := parse(flags, args, "[flags] objects|instances|KIND/NAME", 1, 1); err != nil {
@@ -27,7 +27,7 @@
 		if err != nil {
 			return err
 		}
-		c.say("%s", data)
+		c.printLine("%s", data)
 		return nil
 	}
 }
@@ -37,10 +37,10 @@
 	if err != nil {
 		return err
 	}
-	api.show(c, data, func() {
-		c.say("version %d", o.Version)
+	api.print(c, data, func() {
+		c.printLine("version %d", o.Version)
 		for _, object := range o.Objects {
-			c.say("  %s", object.Ref())
+			c.printLine("  %s", object.Ref())
 		}
 	})
 	return nil
@@ -51,10 +51,10 @@
 	if err != nil {
 		return err
 	}
-	api.show(c, data, func() {
-		c.say("%-16s %-14s %-10s %-8s %-12s %-10s %s", "WORKER", "POOL", "HALL", "RACK", "PHASE", "CONDITION", "ADDRESS")
+	api.print(c, data, func() {
+		c.printLine("%-16s %-14s %-10s %-8s %-12s %-10s %s", "WORKER", "POOL", "HALL", "RACK", "PHASE", "CONDITION", "ADDRESS")
 		for _, r := range rows {
-			c.say("%-16s %-14s %-10s %-8s %-12s %-10s %s", r.Worker, r.Pool, r.DataCenter, r.Rack, r.Phase, r.Condition, r.Address)
+			c.printLine("%-16s %-14s %-10s %-8s %-12s %-10s %s", r.Worker, r.Pool, r.DataCenter, r.Rack, r.Phase, r.Condition, r.Address)
 		}
 	})
 	return nil
--- a/cmd/job.go
+++ b/cmd/job.go
@@ -20,10 +20,10 @@
 	"github.com/yardbridge/yardbridge/services/jobs"
 )
 
-// defaultKeyLife is how long a key made here is valid.
-const defaultKeyLife = time.Hour
+// defaultKeyTTL is how long a key created here is valid.
+const defaultKeyTTL = time.Hour
 
-// runJob submits, cancels or shows job runs.
+// runJob submits, cancels or prints job runs.
 func runJob(ctx context.Context, c console, flags *flag.FlagSet, args []string) error {
 	api := clientFlags(flags)
 	key := flags.String("key", "", "key that makes a repeated submission harmless (default: a fresh one)")
@@ -43,7 +43,7 @@
 		if err != nil {
 			return err
 		}
-		api.show(c, data, func() { sayJobs(c, []jobs.Status{s}) })
+		api.print(c, data, func() { printJobs(c, []jobs.Status{s}) })
 		return nil
 	}
 	return usageError{"allowed are: submit JOB, cancel RUN..., status [RUN]"}
@@ -51,7 +51,7 @@
 
 func submitJob(ctx context.Context, c console, api *client, job, key string) error {
 	if key == "" {
-		key = oncekey.New(time.Now().Add(defaultKeyLife))
+		key = oncekey.New(time.Now().Add(defaultKeyTTL))
 	}
 	body, err := json.Marshal(jobs.Submission{Job: job, Key: key})
 	if err != nil {
@@ -59,10 +59,10 @@
 	}
 	s, data, err := fetch[jobs.Status](ctx, api, http.MethodPost, "/jobs", body)
 	if err != nil {
-		c.complain("the key was " + key + "; submit again with -key to be sure that it runs once")
+		c.printError("the key was " + key + "; submit again with -key to be sure that it runs once")
 		return err
 	}
-	api.show(c, data, func() { sayJobs(c, []jobs.Status{s}) })
+	api.print(c, data, func() { printJobs(c, []jobs.Status{s}) })
 	return nil
 }
 
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	api.show(c, data, func() { c.say("%d runs cancelled", len(r.IDs)) })
+	api.print(c, data, func() { c.printLine("%d runs cancelled", len(r.IDs)) })
 	return nil
 }
 
@@ -84,42 +84,42 @@
 	if err != nil {
 		return err
 	}
-	api.show(c, data, func() { sayJobs(c, list) })
+	api.print(c, data, func() { printJobs(c, list) })
 	return nil
 }
 
-func sayJobs(c console, list []jobs.Status) {
-	c.say("%-42s %-20s %-10s %-8s %-16s %s", "RUN", "JOB", "STATE", "ATTEMPT", "WORKER", "REASON")
+func printJobs(c console, list []jobs.Status) {
+	c.printLine("%-42s %-20s %-10s %-8s %-16s %s", "RUN", "JOB", "STATE", "ATTEMPT", "WORKER", "REASON")
 	for _, s := range list {
-		c.say("%-42s %-20s %-10s %-8d %-16s %s", s.ID, s.Job, s.State, s.Attempt, s.Worker, s.Reason)
+		c.printLine("%-42s %-20s %-10s %-8d %-16s %s", s.ID, s.Job, s.State, s.Attempt, s.Worker, s.Reason)
 	}
 }
 
-// runKey makes a key.
+// runKey creates a key.
 func runKey(_ context.Context, c console, flags *flag.FlagSet, args []string) error {
-	life := flags.Duration("life", defaultKeyLife, "how long the key is valid, 24h at most")
+	ttl := flags.Duration("life", defaultKeyTTL, "how long the key is valid, 24h at most")
 	if err := parse(flags, args, "[flags]", 0, 0); err != nil {
 		return err
 	}
-	if *life <= 0 || *life > oncekey.MaxLifetime {
+	if *ttl <= 0 || *ttl > oncekey.MaxLifetime {
 		return usageError{"-life must be above 0 and at most " + oncekey.MaxLifetime.String()}
 	}
-	c.say("%s", oncekey.New(time.Now().Add(*life)))
+	c.printLine("%s", oncekey.New(time.Now().Add(*ttl)))
 	return nil
 }
 
-// runCustomerKey makes a customer's key, which is shown here only.
+// runCustomerKey creates a customer's key, which is printed only once.
 func runCustomerKey(_ context.Context, c console, flags *flag.FlagSet, args []string) error {
 	if err := parse(flags, args, "", 0, 0); err != nil {
 		return err
 	}
 	key := rand.Text()
-	sum, _ := config.HashKey(key) // a text of that length can be a key
+	sum, _ := config.HashKey(key) // a text of this length is always a valid key
 	text, err := sum.MarshalText()
 	if err != nil {
 		return errors.Trace(err)
 	}
-	c.say("key %s", key)
-	c.say("sum %s", text)
+	c.printLine("key %s", key)
+	c.printLine("sum %s", text)
 	return nil
 }
--- a/cmd/node.go
+++ b/cmd/node.go
@@ -24,12 +24,12 @@
 	"github.com/yardbridge/yardbridge/services/measure"
 )
 
-// memoryShare is the part of a node's memory that the runtime is told to stay
-// under, so that what it can't count has room.
-const memoryShare = 0.7
+// memoryLimitShare is the part of a node's memory that the runtime is told to stay under, so that
+// memory which it can't count has enough space.
+const memoryLimitShare = 0.7
 
-// storeChannels is how many channels to the store are kept open: one for each
-// pool and each feed that a node usually has.
+// storeChannels is the number of channels to the store that are kept open: one for each pool and
+// each feed that a node typically has.
 const storeChannels = 8
 
 // runNode runs a node on the users' platform until SIGTERM or SIGINT.
@@ -56,23 +56,24 @@
 		return errors.Trace(err)
 	}
 	c.signals.use(logger)
-	debug.SetMemoryLimit(int64(float64(s.Node.MemoryMB<<20) * memoryShare))
+	debug.SetMemoryLimit(int64(float64(s.Node.MemoryMB<<20) * memoryLimitShare))
 	p, err := openNode(s, logger)
 	if err != nil {
 		return err
 	}
 	p.meter.Gauge("log.dropped", lines.Dropped)
 	logger.Info().Str("event", "start").Str("callers", s.Listen.Callers).Str("store", s.Platform.Store).Msg("the node starts")
-	// A hang-up that finds one waiting is one with it: the file is read after it.
+	// A hang-up signal while another one is waiting is merged with it, since the file is read after
+	// both.
 	hangup := make(chan struct{}, 1)
 	p.watchSettings(ctx, *path, data, hangup)
-	c.signals.serving(func() { tell(hangup) }, nil)
+	c.signals.serving(func() { wake(hangup) }, nil)
 	p.run(ctx)
 	logger.Info().Str("event", "stop").Msg("the node has stopped")
 	return nil
 }
 
-// nodeProcess is one node and its surfaces.
+// nodeProcess is one node and its listeners.
 type nodeProcess struct {
 	node    *node.Node
 	setting setting.Node
@@ -85,7 +86,7 @@
 
 func openNode(s setting.Node, logger log.Logger) (*nodeProcess, error) {
 	meter := measure.New()
-	c := clients{meter, logger}
+	c := platformClients{meter, logger}
 	store := &platform.Store{Client: c.to("store", s.Platform.Store)}
 	store.Client.MaxIdle = storeChannels
 	workers := &platform.Workers{Client: func(address string) *httpconn.Client { return c.to("worker", address) }}
@@ -108,40 +109,40 @@
 	return p, p.open()
 }
 
-// machineClock returns the machine's clock, which counts the time for which the machine is
-// suspended where it tells that.
+// machineClock returns the machine's clock, which also counts the time for which the machine is
+// suspended if the system reports that.
 func machineClock(logger log.Logger) clock.Clock {
 	c, err := clock.NewSuspendAware(clock.SinceBoot, time.Now, func(d time.Duration, err error) {
 		if err != nil {
-			logger.Warn().Str("event", "suspended").Err(err).Msg("whether the machine was suspended is not known")
+			logger.Warn().Str("event", "suspended").Err(err).Msg("it is unknown whether the machine was suspended")
 			return
 		}
-		logger.Warn().Str("event", "suspended").Dur("for", d).Msg("the machine was suspended; what is known is older by that")
+		logger.Warn().Str("event", "suspended").Dur("for", d).Msg("the machine was suspended; known data is older by that time")
 	})
 	if err != nil {
-		logger.Warn().Str("event", "suspended").Err(err).Msg("suspensions of the machine are not told, and not counted")
+		logger.Warn().Str("event", "suspended").Err(err).Msg("the system does not report suspensions of the machine; they are not counted")
 		return clock.Clock{}
 	}
 	return c.Clock()
 }
 
-// The bounds of connections, each far above what a caller needs. The operators'
-// limits hold in place of the times where they are shorter.
+// Limits of connections, each far above what a caller needs. The operators' limits apply instead
+// where they are shorter.
 const (
-	readTimeout = 5 * time.Second // for the head of a request to come, and for its body
+	readTimeout = 5 * time.Second // for the head of a request to arrive, and for its body
 	idleTimeout = 2 * time.Minute // between the requests of a connection
-	headerBytes = 16 << 10        // of the head of a request; the operators say the same
-	// callerConnections is how many there may be at once: of the 3,900 descriptors
-	// that a process has for sockets, the rest is for workers, other nodes and the
-	// store; at some 30 kB each they take 60 MB of 284.
+	headerBytes = 16 << 10        // of the head of a request, like the operators' limit
+	// callerConnections is the largest number of concurrent connections. Of the 3,900 descriptors
+	// that a process has for sockets, the rest is for workers, other nodes and the store; at about
+	// 30 kB each they take 60 MB of 284.
 	callerConnections = 2048
 )
 
-// open opens the addresses for callers, for the platform's question and for figures.
+// open opens the addresses for callers, for the platform's readiness probe and for metrics.
 func (p *nodeProcess) open() error {
 	p.callers = &httpserve.Server{
 		Handler:        &platform.CallerHandler{Gateway: p.node.Gateway, Logger: p.logger, Meter: p.meter},
-		MaxConnections: callerConnections, CurrentTimeouts: p.callerTimes, IdleGrace: noticeSpan,
+		MaxConnections: callerConnections, CurrentTimeouts: p.callerTimes, IdleGrace: connectionWait,
 	}
 	p.ready = &httpserve.Server{Handler: http.HandlerFunc(p.serveReady)}
 	listen := p.setting.Listen
@@ -149,29 +150,29 @@
 		return errors.Annotate(err, "address for callers")
 	}
 	if err := serveAt(p.ready, listen.Ready); err != nil {
-		return errors.Annotate(err, "address for the platform's question")
+		return errors.Annotate(err, "address for the platform's readiness probe")
 	}
 	if listen.MetricsPort == 0 {
 		return nil
 	}
-	figures := &httpserve.Server{Handler: p.figures()}
-	if err := serveAt(figures, p.setting.MetricsAddress()); err != nil {
-		// Callers are served without figures, too.
-		p.logger.Error().Str("event", "listen").Str("address", p.setting.MetricsAddress()).Err(err).Msg("the figures can't be served")
+	metrics := &httpserve.Server{Handler: p.metricsHandler()}
+	if err := serveAt(metrics, p.setting.MetricsAddress()); err != nil {
+		// Callers are served even without metrics.
+		p.logger.Error().Str("event", "listen").Str("address", p.setting.MetricsAddress()).Err(err).Msg("the metrics can't be served")
 		return nil
 	}
-	p.metrics = figures
+	p.metrics = metrics
 	return nil
 }
 
-// serveAt opens the address of a surface.
+// serveAt opens the address of a listener.
 func serveAt(s *httpserve.Server, address string) error {
 	s.MaxHeaderBytes, s.ReadTimeout, s.IdleTimeout = headerBytes, readTimeout, idleTimeout
 	_, err := s.Listen(address)
 	return err
 }
 
-// callerTimes returns the operators' limits for heads and idle connections.
+// callerTimes returns the operators' timeouts for heads and idle connections.
 func (p *nodeProcess) callerTimes() (header, idle time.Duration) {
 	c := p.node.Gateway.Config()
 	if c == nil {
@@ -180,14 +181,13 @@
 	return c.Limits.HeaderTimeout, c.Limits.IdleTimeout
 }
 
-// figures answers with the counters and histograms, and with what the node
-// believes.
-func (p *nodeProcess) figures() http.Handler {
+// metricsHandler returns the handler of the counters, the histograms and the node's state.
+func (p *nodeProcess) metricsHandler() http.Handler {
 	paths := http.NewServeMux()
 	paths.Handle("GET /metrics", p.meter)
 	paths.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		// An answer that can't be written has nobody who waits for it.
+		// The error of a client that has disconnected is ignored.
 		_ = json.NewEncoder(w).Encode(p.node.Dump())
 	})
 	return paths
@@ -199,24 +199,23 @@
 	}
 }
 
-// The times of a stop.
+// Times of a stop.
 const (
-	// stopShare is the part of the grace after which requests that are still under way
-	// are told to give up.
-	stopShare = 0.7
-	// handShare is the part of the grace after which the node stops listening, whether
-	// its pools are handed over by then or not: the rest is for callers.
-	handShare = 0.35
-	// noticeSpan is how long callers' kept connections are waited for, and the node
-	// listens while there are some: the platform asks each second whether a node is
-	// ready, and sends it no new callers after two answers that it is not.
-	noticeSpan = 2200 * time.Millisecond
-	// askedSpan is for answers to the platform's questions that are under way.
-	askedSpan = 50 * time.Millisecond
+	// cancelShare is the part of the grace period after which requests in flight are cancelled.
+	cancelShare = 0.7
+	// listenShare is the part of the grace period after which the node stops listening, whether its
+	// pools are handed over by then or not; the remaining time is for callers.
+	listenShare = 0.35
+	// connectionWait is how long the node waits for callers' kept connections, and continues to
+	// listen while there are some. The platform probes each second whether a node is ready, and
+	// sends it no new callers after two responses that it is not.
+	connectionWait = 2200 * time.Millisecond
+	// probeResponseTime is the time for responses in flight to the platform's probes.
+	probeResponseTime = 50 * time.Millisecond
 )
 
-// run serves until the context ends, hands the node's pools over and lets what
-// is in flight end.
+// run serves until the context ends, then hands the node's pools over and completes the requests in
+// flight.
 func (p *nodeProcess) run(ctx context.Context) {
 	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -228,44 +227,44 @@
 	}
 	tasks.Go(func() { p.node.Run(running) })
 	<-ctx.Done()
-	p.logger.Info().Str("event", "stop").Msg("the node is asked to stop")
+	p.logger.Info().Str("event", "stop").Msg("the node is stopping")
 	p.stop(running)
 	cancel()
 	tasks.Wait()
 }
 
-// stop hands the node's pools over and has each surface end with the answers to what
-// it has taken.
+// stop hands the node's pools over and shuts each listener down after the responses to its accepted
+// requests.
 func (p *nodeProcess) stop(ctx context.Context) {
 	grace := p.setting.Bounds.ShutdownGrace.Std()
-	bounded, end := context.WithTimeout(ctx, share(grace, stopShare))
+	bounded, end := context.WithTimeout(ctx, share(grace, cancelShare))
 	defer end()
-	// Callers that stay are told to turn elsewhere with their next answer.
+	// Callers with kept connections are told with their next response to connect elsewhere.
 	p.callers.DisableKeepAlives()
-	handed := make(chan struct{})
-	go p.handOver(bounded, handed)
+	handedOver := make(chan struct{})
+	go p.handOver(bounded, handedOver)
 	select {
-	case <-handed:
-	case <-time.After(share(grace, handShare)):
+	case <-handedOver:
+	case <-time.After(share(grace, listenShare)):
 	}
 	if err := p.callers.Shutdown(bounded); err != nil {
 		p.logger.Warn().Str("event", "stop").Err(err).Msg("calls of callers were cut off")
 	}
-	<-handed
-	asked, endAsked := context.WithTimeout(ctx, askedSpan)
+	<-handedOver
+	asked, endAsked := context.WithTimeout(ctx, probeResponseTime)
 	defer endAsked()
-	// Nobody waits for an answer about readiness or figures that does not come at once.
+	// Responses about readiness or metrics that are not immediate are not waited for.
 	_ = p.ready.Shutdown(asked)
 	if p.metrics != nil {
 		_ = p.metrics.Shutdown(asked)
 	}
 }
 
-// handOver gives the node's pools to others.
+// handOver hands the node's pools over to other nodes.
 func (p *nodeProcess) handOver(ctx context.Context, done chan<- struct{}) {
 	defer close(done)
 	p.node.HandOver(ctx)
 }
 
-// share returns a part of a time.
+// share returns a part of a duration.
 func share(d time.Duration, part float64) time.Duration { return time.Duration(float64(d) * part) }
--- a/cmd/node_settings.go
+++ b/cmd/node_settings.go
@@ -14,41 +14,41 @@
 	"github.com/yardbridge/yardbridge/modules/setting"
 )
 
-// settingsPeriod is how often the settings file is read anew, for a change that
-// no signal tells of: reading it takes some microseconds.
+// settingsPeriod is how often the settings file is read to detect a change without a signal;
+// reading it takes some microseconds.
 const settingsPeriod = 2 * time.Second
 
-// settingsWatch takes up changes of a settings file.
-type settingsWatch struct {
+// settingsWatcher applies changes of a settings file.
+type settingsWatcher struct {
 	path   string
 	logger log.Logger
 	clock  clock.Clock
 	hangup <-chan struct{}
 	apply  func(setting.Node)
-	known  []byte // the file as it was read last
+	known  []byte // the file as last read
 }
 
-// watchSettings follows the settings file, of which something is known, until the
-// context ends.
+// watchSettings watches the settings file until the context ends; known is its content as last
+// read.
 func (p *nodeProcess) watchSettings(ctx context.Context, path string, known []byte, hangup <-chan struct{}) {
-	w := &settingsWatch{path: path, logger: p.logger, hangup: hangup, apply: p.node.Reload, known: known}
+	w := &settingsWatcher{path: path, logger: p.logger, hangup: hangup, apply: p.node.Reload, known: known}
 	go w.run(ctx)
 }
 
-// tell lets whoever waits go on; what is told twice before that is told once.
-func tell(c chan<- struct{}) {
+// wake wakes the receiver; wake-ups before it receives are merged into one.
+func wake(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// run reads the file at each signal and now and then.
-func (w *settingsWatch) run(ctx context.Context) {
+// run reads the file at each signal and periodically.
+func (w *settingsWatcher) run(ctx context.Context) {
 	for {
 		select {
 		case <-w.hangup:
-			w.logger.Info().Str("event", "reload").Str("why", "hangup signal").Msg("the settings are read anew")
+			w.logger.Info().Str("event", "reload").Str("why", "hangup signal").Msg("the settings are read again")
 			if _, read := w.read(); read {
 				w.load()
 			}
@@ -62,9 +62,8 @@
 	}
 }
 
-// read reads the file, and reports whether it is another than before and whether
-// it could be read.
-func (w *settingsWatch) read() (changed, read bool) {
+// read reads the file, and reports whether it has changed and whether it could be read.
+func (w *settingsWatcher) read() (changed, read bool) {
 	data, err := os.ReadFile(w.path)
 	if err != nil {
 		w.logger.Warn().Str("event", "reload").Err(err).Msg("the settings file can't be read; the known settings stay in force")
@@ -75,12 +74,11 @@
 	return changed, true
 }
 
-// load puts the settings that were read last in force, unless something is wrong
-// with them.
-func (w *settingsWatch) load() {
+// load applies the settings that were read last, unless they are invalid.
+func (w *settingsWatcher) load() {
 	s, err := setting.ParseNode(w.path, string(w.known))
 	if err != nil {
-		w.logger.Error().Str("event", "reload").Str("outcome", "kept").Err(err).Msg("wrong settings; those known stay in force")
+		w.logger.Error().Str("event", "reload").Str("outcome", "kept").Err(err).Msg("wrong settings; the known settings stay in force")
 		return
 	}
 	w.apply(s)
--- a/cmd/node_settings_test.go
+++ b/cmd/node_settings_test.go
@@ -18,7 +18,7 @@
 	"github.com/yardbridge/yardbridge/modules/setting"
 )
 
-// nodeSettings is a whole settings file of a node.
+// nodeSettings is a complete settings file of a node.
 const nodeSettings = `[node]
 name = "n1"
 data_center = "a"
@@ -41,29 +41,29 @@
 grace = "6s"
 `
 
-// logged takes log lines.
-type logged chan string
+// lineChannel receives log lines.
+type lineChannel chan string
 
-// Write takes one line.
-func (l logged) Write(line []byte) (int, error) {
+// Write sends one line to the channel.
+func (l lineChannel) Write(line []byte) (int, error) {
 	l <- string(line)
 	return len(line), nil
 }
 
-// TestSettingsAreReadAnew has a settings file changed without a signal, changed
-// to a wrong one, and signalled.
-func TestSettingsAreReadAnew(t *testing.T) {
+// TestSettingsFileIsReloaded changes a settings file without a signal, then makes it invalid, and
+// then changes it with a signal.
+func TestSettingsFileIsReloaded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	write := func(text string) { assert.NilError(t, os.WriteFile(path, []byte(text), 0o600)) }
 	write(nodeSettings)
-	lines := make(logged, 10)
+	lines := make(lineChannel, 10)
 	logger, err := log.New(lines, "info", "n1")
 	assert.NilError(t, err)
 	hangup, tick := make(chan struct{}), make(chan time.Time)
-	waits := make(chan struct{}) // taken before each change, so that none is read half written
-	taken := make(chan setting.Node, 1)
-	w := &settingsWatch{
-		path: path, logger: logger, hangup: hangup, apply: func(s setting.Node) { taken <- s },
+	waits := make(chan struct{}) // received before each change, so that no half-written file is read
+	applied := make(chan setting.Node, 1)
+	w := &settingsWatcher{
+		path: path, logger: logger, hangup: hangup, apply: func(s setting.Node) { applied <- s },
 		clock: clock.Clock{AfterFunc: func(time.Duration) <-chan time.Time {
 			waits <- struct{}{}
 			return tick
@@ -82,16 +82,16 @@
 	<-waits
 	write(strings.Replace(nodeSettings, `grace = "6s"`, `grace = "9s"`, 1))
 	tick <- time.Time{}
-	assert.Equal(t, (<-taken).Bounds.ShutdownGrace.Std(), 9*time.Second)
+	assert.Equal(t, (<-applied).Bounds.ShutdownGrace.Std(), 9*time.Second)
 
 	<-waits
 	write(strings.Replace(nodeSettings, `grace = "6s"`, `grace = "soon"`, 1))
-	tick <- time.Time{} // nothing is taken over
+	tick <- time.Time{} // nothing is applied
 	assert.Assert(t, strings.Contains(<-lines, "wrong settings"))
 	<-waits
 	write(nodeSettings)
 	hangup <- struct{}{}
-	assert.Equal(t, (<-taken).Bounds.ShutdownGrace.Std(), 6*time.Second)
+	assert.Equal(t, (<-applied).Bounds.ShutdownGrace.Std(), 6*time.Second)
 	<-waits
 	cancel()
 	<-ended
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -17,11 +17,10 @@
 	"github.com/yardbridge/yardbridge/routers/daemon"
 )
 
-// deposedPeriod is how often an entry looks whether it was replaced.
-const deposedPeriod = time.Second
+// replacedPeriod is how often an entry checks whether it was replaced.
+const replacedPeriod = time.Second
 
-// runServe runs an entry until SIGTERM or SIGINT; SIGUSR1 writes a dump to the
-// standard output.
+// runServe runs an entry until SIGTERM or SIGINT; SIGUSR1 writes a dump to the standard output.
 func runServe(ctx context.Context, c console, flags *flag.FlagSet, args []string) error {
 	path := flags.String("settings", "", "file with the settings of this process")
 	if err := parse(flags, args, "-settings FILE", 0, 0); err != nil {
@@ -48,15 +47,14 @@
 		return err
 	}
 	c.signals.serving(func() { reloadEntry(ctx, d, *path) }, func() { c.writeDump(d) })
-	c.say("entry %s serves callers at %s, administration at %s, peers at %s",
+	c.printLine("entry %s serves callers at %s, administration at %s, peers at %s",
 		s.Entry.Name, d.CallerAddress, d.AdminAddress, d.Entry.Setting.Listen.Peers)
 	return c.serveUntil(ctx, d)
 }
 
-// serveUntil waits for the end of an entry: asked for, or forced by the
-// platform that has replaced it.
+// serveUntil waits until the entry is stopped, or until the platform has replaced it.
 func (c console) serveUntil(ctx context.Context, d *daemon.Daemon) error {
-	ticker := time.NewTicker(deposedPeriod)
+	ticker := time.NewTicker(replacedPeriod)
 	defer ticker.Stop()
 	for {
 		select {
@@ -72,29 +70,29 @@
 	}
 }
 
-// reloadEntry reads the settings of an entry anew; where they are wrong, those known
-// stay in force.
+// reloadEntry reads the settings of an entry again; if they are invalid, the known settings stay in
+// force.
 func reloadEntry(ctx context.Context, d *daemon.Daemon, path string) {
 	logger := d.Entry.Logger
 	data, err := readSettings(ctx, path)
 	if err != nil {
-		logger.Error().Str("event", "reload").Str("outcome", "kept").Err(err).Msg("the settings can't be read; those known stay in force")
+		logger.Error().Str("event", "reload").Str("outcome", "kept").Err(err).Msg("the settings can't be read; the known settings stay in force")
 		return
 	}
 	s, problems := setting.Parse(path, string(data))
 	if err := problems.Err(); err != nil {
-		logger.Error().Str("event", "reload").Str("outcome", "kept").Err(err).Msg("wrong settings; those known stay in force")
+		logger.Error().Str("event", "reload").Str("outcome", "kept").Err(err).Msg("wrong settings; the known settings stay in force")
 		return
 	}
 	restart := d.Reload(s)
-	logger.Info().Str("event", "reload").Str("outcome", "in force").Strs("restart_needed", restart).Msg("newer settings are taken over")
+	logger.Info().Str("event", "reload").Str("outcome", "in force").Strs("restart_needed", restart).Msg("newer settings are applied")
 }
 
 func (c console) writeDump(d *daemon.Daemon) {
 	data, err := json.Marshal(d.Entry.Dump())
 	if err != nil {
-		c.complain(err.Error())
+		c.printError(err.Error())
 		return
 	}
-	c.say("%s", data)
+	c.printLine("%s", data)
 }
--- a/cmd/signals.go
+++ b/cmd/signals.go
@@ -12,71 +12,70 @@
 	"github.com/yardbridge/yardbridge/modules/signals"
 )
 
-// watch carries out what the signals of a process ask for, from before its command
-// is known until it ends. Each kind has a loop of its own: a reload that takes long
-// does not hold up a stop.
-type watch struct {
+// signalHandler handles the signals of a process, from before its command is known until the
+// process ends. Each kind of signal has its own loop, so that a long reload does not delay a stop.
+type signalHandler struct {
 	stop context.CancelFunc // of the command's context
-	done <-chan struct{}    // closed once a stop was asked for
+	done <-chan struct{}    // closed once a stop was requested
 
 	mu      sync.Mutex
 	logger  log.Logger
 	started bool
-	pending bool   // a hang-up has come during the start
-	reload  func() // nil for nothing to read anew
-	dump    func() // nil for nothing to show
+	pending bool   // a hang-up was received during the start
+	reload  func() // nil if there is nothing to reload
+	dump    func() // nil if there is no state to dump
 }
 
-// watchSignals begins to take the signals of the process; the context ends with the
-// first that asks for a stop.
-func watchSignals(logger log.Logger) (context.Context, *watch) {
+// watchSignals starts handling the signals of the process; the context ends with the first that
+// requests a stop.
+func watchSignals(logger log.Logger) (context.Context, *signalHandler) {
 	ctx, stop := context.WithCancel(context.Background())
-	w := &watch{stop: stop, done: ctx.Done(), logger: logger}
-	go w.run(signals.Stops, w.end)
+	w := &signalHandler{stop: stop, done: ctx.Done(), logger: logger}
+	go w.run(signals.Stops, w.stopProcess)
 	go w.run(signals.Hangups, w.hangup)
-	go w.run(signals.Dumps, w.show)
+	go w.run(signals.Dumps, w.dumpState)
 	return ctx, w
 }
 
-// run takes the signals of one kind until the process ends.
-func (w *watch) run(list <-chan os.Signal, take func(os.Signal)) {
+// run handles the signals of one kind until the process ends.
+func (w *signalHandler) run(list <-chan os.Signal, handle func(os.Signal)) {
 	for g := range list {
-		take(g)
+		handle(g)
 	}
 }
 
-// use has signals be logged by the logger of the command from now on.
-func (w *watch) use(logger log.Logger) {
+// use sets the logger for signals to the logger of the command.
+func (w *signalHandler) use(logger log.Logger) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.logger = logger
 }
 
-// serving tells that the command has started, and what a hang-up and a wish for a
-// dump have it do from now on, nil for nothing. A hang-up that came before counts.
-func (w *watch) serving(reload, dump func()) {
+// serving records that the command has started, and what hang-ups and dump signals do from now on,
+// nil for nothing. A hang-up received before is handled now.
+func (w *signalHandler) serving(reload, dump func()) {
 	w.mu.Lock()
 	w.started, w.reload, w.dump = true, reload, dump
-	late := w.pending && reload != nil
+	reloadNow := w.pending && reload != nil
 	w.pending = false
 	w.mu.Unlock()
-	if late {
+	if reloadNow {
 		reload()
 	}
 }
 
-// end has the process stop; one that stops already goes on with that.
-func (w *watch) end(g os.Signal) {
+// stopProcess stops the process unless it is already stopping.
+func (w *signalHandler) stopProcess(g os.Signal) {
 	if w.stopping() {
-		w.log(g.String(), "none", "the process stops already")
+		w.log(g.String(), "none", "the process is already stopping")
 		return
 	}
-	w.log(g.String(), "stop", "the process is asked to stop")
+	w.log(g.String(), "stop", "the process is stopping")
 	w.stop()
 }
 
-// stopping reports whether a stop was asked for.
-func (w *watch) stopping() bool {
+// stopping reports whether a stop was requested.
+func (w *signalHandler) stopping() bool {
 	select {
 	case <-w.done:
 		return true
@@ -85,41 +84,40 @@
 	}
 }
 
-// hangup has the settings read anew.
-func (w *watch) hangup(os.Signal) {
+// hangup reloads the settings.
+func (w *signalHandler) hangup(os.Signal) {
 	w.mu.Lock()
 	reload, started := w.reload, w.started
 	w.pending = w.pending || !started
 	w.mu.Unlock()
 	switch {
 	case w.stopping():
-		w.log("hangup", "none", "the process stops; nothing is read anew")
+		w.log("hangup", "none", "the process is stopping; nothing is reloaded")
 	case !started:
-		w.log("hangup", "later", "the process starts; its settings are read anew once it has")
+		w.log("hangup", "later", "the process is starting; its settings are reloaded after the start")
 	case reload == nil:
-		w.log("hangup", "none", "there is nothing to read anew")
+		w.log("hangup", "none", "there is nothing to reload")
 	default:
-		w.log("hangup", "reload", "the settings are read anew")
+		w.log("hangup", "reload", "the settings are reloaded")
 		reload()
 	}
 }
 
-// show has the state of the process shown.
-func (w *watch) show(g os.Signal) {
+// dumpState dumps the state of the process.
+func (w *signalHandler) dumpState(g os.Signal) {
 	w.mu.Lock()
 	dump := w.dump
 	w.mu.Unlock()
 	if dump == nil {
-		w.log(g.String(), "none", "there is nothing to show")
+		w.log(g.String(), "none", "there is no state to dump")
 		return
 	}
-	w.log(g.String(), "dump", "the state is shown")
+	w.log(g.String(), "dump", "the state is dumped")
 	dump()
 }
 
-// log tells of a signal, whatever the level of the log: signals are rare, and someone
-// means each.
-func (w *watch) log(signal, outcome, message string) {
+// log logs a signal at any log level, since signals are rare and each is sent on purpose.
+func (w *signalHandler) log(signal, outcome, message string) {
 	w.mu.Lock()
 	logger := w.logger
 	w.mu.Unlock()
--- a/cmd/signals_test.go
+++ b/cmd/signals_test.go
@@ -27,10 +27,10 @@
 	"github.com/yardbridge/yardbridge/examples"
 )
 
-// envArgs holds the arguments, a line each, of the command that this process is to be.
+// envArgs holds the arguments, one in each line, of the command that this process runs.
 const envArgs = "YARDBRIDGE_TEST_ARGS"
 
-// TestMain makes the test program the real one where it is started as that.
+// TestMain runs the test program as the real program if envArgs is set.
 func TestMain(m *testing.M) {
 	if args := os.Getenv(envArgs); args != "" {
 		os.Exit(cmd.Main(strings.Split(args, "\n"), os.Stdout, os.Stderr))
@@ -38,7 +38,7 @@
 	os.Exit(m.Run())
 }
 
-// lineLimit bounds the wait for a line or an end that must come.
+// lineLimit is the longest wait for an expected line or exit.
 const lineLimit = 30 * time.Second
 
 // child is a command in a process of its own.
@@ -47,8 +47,8 @@
 	run   *exec.Cmd
 	lines chan string // of both outputs; closed at their end
 
-	mu   sync.Mutex
-	said []string
+	mu     sync.Mutex
+	output []string
 }
 
 // begin starts a command.
@@ -66,27 +66,26 @@
 	return c
 }
 
-// read takes what the process says.
+// read collects the output of the process.
 func (c *child) read(r *os.File) {
 	defer close(c.lines)
 	for s := bufio.NewScanner(r); s.Scan(); {
 		c.mu.Lock()
-		c.said = append(c.said, s.Text())
+		c.output = append(c.output, s.Text())
 		c.mu.Unlock()
 		c.lines <- s.Text()
 	}
 	_ = r.Close()
 }
 
-// text returns all that the process has said.
+// text returns all output of the process.
 func (c *child) text() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return strings.Join(c.said, "\n")
+	return strings.Join(c.output, "\n")
 }
 
-// await waits for a line that holds a pattern and returns what the pattern holds
-// in parentheses.
+// await waits for a line that matches a pattern and returns the submatches.
 func (c *child) await(pattern string) []string {
 	c.t.Helper()
 	p := regexp.MustCompile(pattern)
@@ -114,18 +113,18 @@
 	}
 }
 
-// end waits for the end and returns the exit code, -1 for an end by a signal.
+// end waits for the exit and returns the exit code, -1 after an exit by a signal.
 func (c *child) end() int {
 	c.t.Helper()
 	kill := time.AfterFunc(lineLimit, func() { _ = c.run.Process.Kill() })
 	for range c.lines { // the outputs end with the process
 	}
-	_ = c.run.Wait() // the exit code tells
+	_ = c.run.Wait() // the exit code is checked instead
 	kill.Stop()
 	return c.run.ProcessState.ExitCode()
 }
 
-// outcomes returns the outcomes that the log tells of a signal.
+// outcomes returns the logged outcomes of a signal.
 func (c *child) outcomes(signal string) []string {
 	var list []string
 	for _, line := range strings.Split(c.text(), "\n") {
@@ -137,8 +136,8 @@
 	return list
 }
 
-// pipeFile is a file whose reader waits until it is written, so that a process can
-// be held while it reads it.
+// pipeFile is a file whose reader blocks until it is written, so that a process can be stopped
+// while it reads it.
 type pipeFile struct {
 	t    *testing.T
 	path string
@@ -158,7 +157,7 @@
 	return f
 }
 
-// freeAddress returns an address at which nothing listens.
+// freeAddress returns an address without a listener.
 func freeAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -166,7 +165,7 @@
 	return l.Addr().String()
 }
 
-// nodeText returns settings of a node; its store refuses connections.
+// nodeText returns settings of a node whose store refuses connections.
 func nodeText(t *testing.T) string {
 	addresses := ownAddresses(t, 3)
 	ip, port, err := net.SplitHostPort(addresses[2])
@@ -191,9 +190,9 @@
 `, ip, addresses[0], addresses[1], port)
 }
 
-// ownAddresses returns different addresses that are free, on an IP that no other test
-// program uses, nor any connection: a port that was free on 127.0.0.1 may be taken by
-// either before a process listens there.
+// ownAddresses returns distinct free addresses on an IP address that no other test program and no
+// connection uses. A port that was free on 127.0.0.1 may be taken by either of them before a
+// process listens on it.
 func ownAddresses(t *testing.T, n int) []string {
 	t.Helper()
 	ip := fmt.Sprintf("127.%d.%d.1", 64+os.Getpid()>>8&63, os.Getpid()&255)
@@ -201,13 +200,13 @@
 	for range n {
 		l, err := net.Listen("tcp", ip+":0")
 		assert.NilError(t, err)
-		defer func() { _ = l.Close() }() // all are held until all are drawn
+		defer func() { _ = l.Close() }() // all stay open until the last one is chosen
 		addresses = append(addresses, l.Addr().String())
 	}
 	return addresses
 }
 
-// entryText returns settings of an entry whose platform is at an address.
+// entryText returns settings of an entry with the platform at an address.
 func entryText(platform string) string {
 	return fmt.Sprintf(`[entry]
 name = "e1"
@@ -236,7 +235,7 @@
 	return e.Fleet
 }
 
-// readers are the commands that read a file as they start.
+// readers returns the commands that read a file at their start.
 func readers(t *testing.T, path string) map[string][]string {
 	t.Helper()
 	return map[string][]string{
@@ -246,11 +245,11 @@
 	}
 }
 
-// hangups is a series of hang-ups.
+// hangups is a series of hang-up signals.
 var hangups = []syscall.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP}
 
-// TestSignalsWhileSettingsAreRead signals each command while it reads its file: no
-// hang-up ends it, and a request to stop does, with the code of a planned end.
+// TestSignalsWhileSettingsAreRead signals each command while it reads its file: no hang-up ends it,
+// and a stop signal ends it with the exit code of a planned stop.
 func TestSignalsWhileSettingsAreRead(t *testing.T) {
 	for name := range readers(t, "") {
 		for _, end := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
@@ -269,8 +268,8 @@
 	}
 }
 
-// TestHangupsWhileSettingsAreRead has each command go on with its start after
-// hang-ups, and stop as planned.
+// TestHangupsWhileSettingsAreRead checks that each command continues its start after hang-ups, and
+// stops as planned.
 func TestHangupsWhileSettingsAreRead(t *testing.T) {
 	texts := map[string]string{"node": nodeText(t), "serve": entryText("127.0.0.1:1"), "standin": fleetText(t)}
 	started := map[string]string{"node": `"event":"start"`, "serve": `no state yet`, "standin": `stand-in with`}
@@ -292,25 +291,24 @@
 	}
 }
 
-// TestSignalsOfAStandalone signals everything in one process as it starts, serves
-// and stops.
+// TestSignalsOfAStandalone signals a standalone process while it starts, serves and stops.
 func TestSignalsOfAStandalone(t *testing.T) {
 	c := begin(t, "standalone", "-port", "0")
-	c.await(`insecure`) // the first entry is being made
+	c.await(`insecure`) // the first entry is being created
 	c.signal(hangups...)
 	c.await(`"signal":"hangup"`)
 	address := c.await(`callers http://(\S+)`)[1]
 	c.await(`try next`)
 	c.signal(syscall.SIGHUP)
-	c.await(`"signal":"hangup".*nothing to read anew`)
-	answer, err := http.Get("http://" + address + "/s/none")
+	c.await(`"signal":"hangup".*nothing to reload`)
+	response, err := http.Get("http://" + address + "/s/none")
 	assert.NilError(t, err)
-	_ = answer.Body.Close()
+	_ = response.Body.Close()
 	c.signal(syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
 	assert.Equal(t, c.end(), cmd.ExitOK, c.text())
 }
 
-// TestStopOfAStandaloneThatStarts stops it before it serves.
+// TestStopOfAStandaloneThatStarts stops a standalone process before it serves.
 func TestStopOfAStandaloneThatStarts(t *testing.T) {
 	c := begin(t, "standalone", "-port", "0")
 	c.await(`insecure`)
@@ -318,8 +316,8 @@
 	assert.Equal(t, c.end(), cmd.ExitOK, c.text())
 }
 
-// TestSignalsOfAShortCommand: a hang-up does not cut what a command asked for, and
-// SIGTERM ends it with an error that says so.
+// TestSignalsOfAShortCommand checks that a hang-up does not interrupt the request of a command, and
+// that SIGTERM ends it with an error that names the signal.
 func TestSignalsOfAShortCommand(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -335,8 +333,8 @@
 	assert.Assert(t, strings.Contains(c.text(), "stopped by a signal"), c.text())
 }
 
-// TestLogWhoseReaderHasGone: the end of what reads a process's output ends no
-// process.
+// TestLogWhoseReaderHasGone checks that a process continues when the reader of its output has
+// exited.
 func TestLogWhoseReaderHasGone(t *testing.T) {
 	address := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "fleet.toml")
@@ -371,27 +369,27 @@
 	assert.NilError(t, <-ended)
 }
 
-// TestSignalsAreTakenFirst: the signals are asked for before the larger packages are
-// set up, which takes most of a program's first milliseconds.
+// TestSignalsAreTakenFirst checks that signals are registered before the larger packages are
+// initialized, which takes most of a program's first milliseconds.
 func TestSignalsAreTakenFirst(t *testing.T) {
 	run := exec.Command(os.Args[0])
 	run.Env = append(os.Environ(), envArgs+"=help", "GODEBUG=inittrace=1")
-	var said bytes.Buffer
-	run.Stdout, run.Stderr = &said, &said
+	var output bytes.Buffer
+	run.Stdout, run.Stderr = &output, &output
 	assert.NilError(t, run.Run())
 	var order []string
-	for _, m := range regexp.MustCompile(`(?m)^init (\S+) @`).FindAllStringSubmatch(said.String(), -1) {
+	for _, m := range regexp.MustCompile(`(?m)^init (\S+) @`).FindAllStringSubmatch(output.String(), -1) {
 		order = append(order, m[1])
 	}
 	first := slices.Index(order, "github.com/yardbridge/yardbridge/modules/signals")
-	assert.Assert(t, first >= 0, "signals are not taken at the start: %s", order)
+	assert.Assert(t, first >= 0, "signals are not registered at the start: %s", order)
 	for _, o := range []string{"net", "net/http", "github.com/rs/zerolog"} {
-		assert.Assert(t, first < slices.Index(order, o) || !slices.Contains(order, o), "%s comes first: %s", o, order)
+		assert.Assert(t, first < slices.Index(order, o) || !slices.Contains(order, o), "%s is initialized first: %s", o, order)
 	}
 }
 
-// serveEntry runs an entry with a stand-in, and returns it once it serves, with its
-// address for administration and the file of its settings.
+// serveEntry runs an entry with a stand-in, and returns it once it serves, with its address for
+// administration and its settings file.
 func serveEntry(t *testing.T) (c *child, admin, path, platform string) {
 	dir := t.TempDir()
 	fleet := filepath.Join(dir, "fleet.toml")
@@ -408,8 +406,8 @@
 	return c, admin, path, platform
 }
 
-// TestEntryReadsItsSettingsAnew: a hang-up has an entry take up what it can, say
-// what needs a restart, and keep what it knows where the settings are wrong.
+// TestEntryReadsItsSettingsAnew checks that a hang-up makes an entry apply the settings that it
+// can, report those that need a restart, and keep the known ones if the new ones are invalid.
 func TestEntryReadsItsSettingsAnew(t *testing.T) {
 	c, admin, path, platform := serveEntry(t)
 	status := func(secret string) int {
--- a/cmd/standalone.go
+++ b/cmd/standalone.go
@@ -20,16 +20,16 @@
 	"github.com/yardbridge/yardbridge/standin"
 )
 
-// The token of a standalone run, which listens on loopback only.
+// standaloneToken is the token of a standalone run, which listens on loopback only.
 const standaloneToken = "standalone-operator"
 
-// standaloneEntries is how many entries a standalone run has.
+// standaloneEntries is the number of entries of a standalone run.
 const standaloneEntries = 3
 
-// applyLimit bounds the first apply of a standalone run.
+// applyLimit is the longest time for the first apply of a standalone run.
 const applyLimit = 30 * time.Second
 
-// runStandalone runs everything in one process until SIGTERM or SIGINT.
+// runStandalone runs the stand-in and the entries in one process until SIGTERM or SIGINT.
 func runStandalone(ctx context.Context, c console, flags *flag.FlagSet, args []string) error {
 	deployment := flags.String("deployment", "tablehold", "example to run: tablehold or haddad")
 	port := flags.Int("port", 7600, "first port on 127.0.0.1; 0 for any")
@@ -66,8 +66,8 @@
 		}
 	}()
 	for n := range standaloneEntries {
-		hall := workers[n*len(workers)/standaloneEntries].DataCenter
-		d, err := startEntry(ctx, s, n, hall, port, logger)
+		dataCenter := workers[n*len(workers)/standaloneEntries].DataCenter
+		d, err := startEntry(ctx, s, n, dataCenter, port, logger)
 		if err != nil {
 			return err
 		}
@@ -80,14 +80,14 @@
 		return err
 	}
 	c.signals.serving(nil, nil)
-	c.sayStandalone(daemons, example, len(workers))
+	c.printStandalone(daemons, example, len(workers))
 	<-ctx.Done()
 	return nil
 }
 
-func startEntry(ctx context.Context, s *standin.RunningServer, n int, hall string, port int, logger log.Logger) (*daemon.Daemon, error) {
+func startEntry(ctx context.Context, s *standin.RunningServer, n int, dataCenter string, port int, logger log.Logger) (*daemon.Daemon, error) {
 	set := setting.Default()
-	set.Entry = setting.Entry{Name: fmt.Sprintf("entry-%d", n+1), Hall: hall, DataCenter: "local"}
+	set.Entry = setting.Entry{Name: fmt.Sprintf("entry-%d", n+1), Hall: dataCenter, DataCenter: "local"}
 	set.Listen = setting.Listen{Callers: loopback(port, n), Admin: loopback(port, n+10), Peers: loopback(port, n+20)}
 	set.Platform.URL = "http://" + s.Address
 	set.Peers.Insecure = true
@@ -97,7 +97,7 @@
 	return daemon.Start(ctx, set, logger)
 }
 
-// loopback returns an address; a first port of 0 leaves the choice open.
+// loopback returns an address on 127.0.0.1; with a first port of 0 the system chooses the port.
 func loopback(first, n int) string {
 	if first == 0 {
 		return "127.0.0.1:0"
@@ -116,14 +116,14 @@
 	return errors.Annotatef(err, "applying %s", example.Name)
 }
 
-func (c console) sayStandalone(daemons []*daemon.Daemon, example examples.Example, workers int) {
-	c.say("deployment %s runs with %d workers and %d entries:", example.Name, workers, len(daemons))
+func (c console) printStandalone(daemons []*daemon.Daemon, example examples.Example, workers int) {
+	c.printLine("deployment %s runs with %d workers and %d entries:", example.Name, workers, len(daemons))
 	for _, d := range daemons {
-		c.say("  %s  callers http://%s  administration %s", d.Entry.Setting.Entry.Name, d.CallerAddress, d.AdminAddress)
+		c.printLine("  %s  callers http://%s  administration %s", d.Entry.Setting.Entry.Name, d.CallerAddress, d.AdminAddress)
 	}
-	c.say("")
-	c.say("try next, in another terminal:")
-	c.say("  curl -i 'http://%s/s/%s/hello?work=5ms'", daemons[0].CallerAddress, example.Service)
-	c.say("  go run . status -server %s -token %s", daemons[0].AdminAddress, standaloneToken)
-	c.say("  go run . plan -server %s -token %s examples/%s.toml", daemons[1].AdminAddress, standaloneToken, example.Name)
+	c.printLine("")
+	c.printLine("try next, in another terminal:")
+	c.printLine("  curl -i 'http://%s/s/%s/hello?work=5ms'", daemons[0].CallerAddress, example.Service)
+	c.printLine("  go run . status -server %s -token %s", daemons[0].AdminAddress, standaloneToken)
+	c.printLine("  go run . plan -server %s -token %s examples/%s.toml", daemons[1].AdminAddress, standaloneToken, example.Name)
 }
--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	c.signals.serving(nil, nil)
-	c.say("stand-in with %d workers at %s", len(workers), r.Address)
+	c.printLine("stand-in with %d workers at %s", len(workers), r.Address)
 	<-ctx.Done()
 	return r.Stop(context.WithoutCancel(ctx))
 }
--- a/cmd/status.go
+++ b/cmd/status.go
@@ -12,7 +12,7 @@
 	"github.com/yardbridge/yardbridge/routers/apiv1"
 )
 
-// runStatus shows how an entry sees the system.
+// runStatus prints the status of the system as an entry sees it.
 func runStatus(ctx context.Context, c console, flags *flag.FlagSet, args []string) error {
 	api := clientFlags(flags)
 	if err := parse(flags, args, "[flags]", 0, 0); err != nil {
@@ -22,21 +22,21 @@
 	if err != nil {
 		return err
 	}
-	api.show(c, data, func() { sayStatus(c, s) })
+	api.print(c, data, func() { printStatus(c, s) })
 	return nil
 }
 
-func sayStatus(c console, s apiv1.Status) {
-	c.say("entry %s  ready: %s  offset %d  version %d", s.Entry, s.Ready, s.Offset, s.Version)
-	c.say("roster: %s", strings.Join(s.Members, ", "))
-	c.say("%-20s %6s %8s %8s %10s %6s", "POOL", "SIZE", "PRESENT", "SERVING", "MUST STAY", "SPARE")
+func printStatus(c console, s apiv1.Status) {
+	c.printLine("entry %s  ready: %s  offset %d  version %d", s.Entry, s.Ready, s.Offset, s.Version)
+	c.printLine("roster: %s", strings.Join(s.Members, ", "))
+	c.printLine("%-20s %6s %8s %8s %10s %6s", "POOL", "SIZE", "PRESENT", "SERVING", "MUST STAY", "SPARE")
 	for _, p := range s.Pools {
-		c.say("%-20s %6d %8d %8d %10d %6d", p.Pool, p.Size, p.Present, p.Serving, p.Available, p.Spare)
+		c.printLine("%-20s %6d %8d %8d %10d %6d", p.Pool, p.Size, p.Present, p.Serving, p.Available, p.Spare)
 	}
 	for _, h := range s.Shortages {
-		c.say("short: pool %s has %d of %d: %s", h.Pool, h.Present, h.Wanted, h.Reason)
+		c.printLine("short: pool %s has %d of %d: %s", h.Pool, h.Present, h.Wanted, h.Reason)
 	}
 	for _, b := range s.Blocked {
-		c.say("maintenance waits: %s in pool %s: %s", b.Worker, b.Pool, b.Reason)
+		c.printLine("maintenance waits: %s in pool %s: %s", b.Worker, b.Pool, b.Reason)
 	}
 }
--- a/cmd/stop_test.go
+++ b/cmd/stop_test.go
@@ -24,7 +24,7 @@
 	"github.com/yardbridge/yardbridge/cmd"
 )
 
-// crowd is callers of one address that go on using their connections.
+// crowd is a group of callers of one address that keep using their connections.
 type crowd struct {
 	t       *testing.T
 	address string
@@ -33,11 +33,11 @@
 	tasks   sync.WaitGroup
 }
 
-// crowdSize is how many callers there are.
+// crowdSize is the number of callers.
 const crowdSize = 30
 
-// press has the callers send requests one after another, until each is told that its
-// connection ends.
+// press makes the callers send requests one after another, until each is told that its connection
+// closes.
 func press(t *testing.T, address, request string) *crowd {
 	k := &crowd{t: t, address: address, request: request}
 	for range crowdSize {
@@ -53,7 +53,7 @@
 	return k
 }
 
-// use uses one connection.
+// use sends requests over one connection.
 func (k *crowd) use(c net.Conn) {
 	lines := bufio.NewReader(c)
 	for {
@@ -64,11 +64,11 @@
 		}
 		a, err := http.ReadResponse(lines, nil)
 		if err != nil {
-			k.t.Errorf("a request got no answer: %v", err)
+			k.t.Errorf("a request got no response: %v", err)
 			return
 		}
 		if _, err := io.Copy(io.Discard, a.Body); err != nil {
-			k.t.Errorf("an answer is not whole: %v", err)
+			k.t.Errorf("a response is truncated: %v", err)
 			return
 		}
 		if a.Close {
@@ -77,7 +77,7 @@
 	}
 }
 
-// callersPattern finds the address for callers in the settings of a node.
+// callersPattern matches the address for callers in the settings of a node.
 var callersPattern = regexp.MustCompile(`callers = "([^"]+)"`)
 
 // beginNode starts a node whose store refuses connections.
@@ -91,7 +91,7 @@
 	return c, callers, ready
 }
 
-// listens waits until an address is served.
+// listens waits until an address accepts connections.
 func listens(t *testing.T, address string) {
 	for end := time.Now().Add(lineLimit); ; time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", address)
@@ -106,8 +106,8 @@
 // wholeRequest is a submission that a node without a configuration refuses.
 const wholeRequest = "POST /q/0123456789abcdef HTTP/1.1\r\nHost: h.example\r\nContent-Length: 2\r\n\r\n{}"
 
-// TestStopsOfProcessesAnswerEveryRequest asks each process to stop, and hangs up, while
-// callers press it on kept connections: every whole request is answered.
+// TestStopsOfProcessesAnswerEveryRequest stops each process, with hang-ups in between, while
+// callers send requests on kept connections: every complete request gets a response.
 func TestStopsOfProcessesAnswerEveryRequest(t *testing.T) {
 	stop := []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP}
 	t.Run("node", func(t *testing.T) {
@@ -144,8 +144,8 @@
 	})
 }
 
-// TestCallersBeyondTheBound: a node tells the callers that have no place so, and
-// serves those that have one.
+// TestCallersBeyondTheBound checks that a node serves callers up to the limit of connections and
+// tells further ones that there are too many.
 func TestCallersBeyondTheBound(t *testing.T) {
 	c, callers, _ := beginNode(t)
 	var list []net.Conn
@@ -166,10 +166,10 @@
 			_ = k.Close()
 		}
 	}()
-	const most = 2048 // the bound of docs/OPERATIONS.md
+	const most = 2048 // the limit in docs/OPERATIONS.md
 	for range most {
 		if kind := status(); kind != "stopping" {
-			t.Fatalf("caller %d is told %q", len(list), kind)
+			t.Fatalf("caller %d gets the error %q", len(list), kind)
 		}
 	}
 	assert.Equal(t, status(), "too-many-connections")
@@ -178,8 +178,8 @@
 	assert.Equal(t, c.end(), cmd.ExitOK, c.text())
 }
 
-// TestBodyOfACallerThatNeverComes: the place of a caller whose body does not come
-// is free again after a time.
+// TestBodyOfACallerThatNeverComes checks that the connection of a caller whose body does not arrive
+// is closed after a time.
 func TestBodyOfACallerThatNeverComes(t *testing.T) {
 	_, callers, _ := beginNode(t)
 	k, err := net.Dial("tcp", callers)
@@ -189,11 +189,11 @@
 	_, err = fmt.Fprint(k, "POST /q/0123456789abcdef HTTP/1.1\r\nHost: h.example\r\nContent-Length: 10\r\n\r\n{")
 	assert.NilError(t, err)
 	_, err = io.Copy(io.Discard, k)
-	assert.Assert(t, err == nil || errors.Is(err, syscall.ECONNRESET), "the place is still taken: %v", err)
+	assert.Assert(t, err == nil || errors.Is(err, syscall.ECONNRESET), "the connection is still open: %v", err)
 }
 
-// TestNodeWhoseAddressIsTaken ends with an error that says so, in place of a node that
-// serves nobody.
+// TestNodeWhoseAddressIsTaken checks that a node whose address is in use exits with an error that
+// names it, instead of running without callers.
 func TestNodeWhoseAddressIsTaken(t *testing.T) {
 	text, path := nodeText(t), filepath.Join(t.TempDir(), "node.toml")
 	assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
--- a/cmd/validate.go
+++ b/cmd/validate.go
@@ -34,16 +34,16 @@
 		problems = append(problems, validateFile(name, string(data))...)
 	}
 	for _, p := range problems {
-		c.complain(p.String())
+		c.printError(p.String())
 	}
 	if len(problems) > 0 {
-		return errkind.New(errkind.BadRequest, "%s", counted(len(problems), "problem"))
+		return errkind.New(errkind.BadRequest, "%s", countOf(len(problems), "problem"))
 	}
-	c.say("in order: %s", counted(flags.NArg(), "file"))
+	c.printLine("in order: %s", countOf(flags.NArg(), "file"))
 	return nil
 }
 
-// validateFile checks a declarative file, its references included.
+// validateFile checks a declarative file, including its references.
 func validateFile(name, data string) tomlfile.Problems {
 	f, problems := manifest.Parse(name, data)
 	if len(problems) > 0 {
