--- a/tests/load_test.go
+++ b/tests/load_test.go
@@ -22,33 +22,33 @@
 	"github.com/yardbridge/yardbridge/standin"
 )
 
-// load sends requests through a stand-in of the platform's balancer, which
-// asks the entries whether they are ready.
-type load struct {
-	w       *world
-	path    string
-	ctx     context.Context
-	cancel  context.CancelFunc
-	group   sync.WaitGroup
-	client  http.Client
-	mu      sync.Mutex
-	ready   []string // addresses for callers
-	next    int
-	good    int
-	refused map[string]int // true refusals, by kind
-	busy    int            // of them those that were asked again, since the entry was overloaded
-	unknown int
-	cut     int // by an entry that the script killed or froze
-	bad     []string
+// clientLoad sends requests through a simulated load balancer, which probes whether the entries are
+// ready.
+type clientLoad struct {
+	w               *testEnv
+	path            string
+	ctx             context.Context
+	cancel          context.CancelFunc
+	group           sync.WaitGroup
+	client          http.Client
+	mu              sync.Mutex
+	ready           []string // addresses for callers
+	next            int
+	succeeded       int
+	refused         map[string]int // refusals as not run, by kind
+	overloadRetries int            // requests retried after an entry was overloaded
+	unknown         int
+	disturbed       int // failed at an entry that the script killed or suspended
+	failures        []string
 }
 
-// balancerPeriod is how often the balancer asks.
+// balancerPeriod is how often the load balancer probes the entries.
 const balancerPeriod = 20 * time.Millisecond
 
-// cmdLoad runs load: load start NAME CLIENTS PATH; load stop NAME fails if a
-// request failed or none was served; load served NAME waits for more answers;
-// the words "refused" and "unknown" behind stop allow answers that say so.
-func (w *world) cmdLoad(ts *testscript.TestScript, _ bool, args []string) {
+// cmdLoad runs load. load start NAME CLIENTS PATH starts it; load served NAME waits for more
+// responses; load stop NAME stops it and fails if a request failed or none was served. The words
+// "refused" and "unknown" after stop allow responses with these outcomes.
+func (w *testEnv) cmdLoad(ts *testscript.TestScript, _ bool, args []string) {
 	switch args[0] {
 	case "start":
 		var clients int
@@ -58,18 +58,18 @@
 	case "served":
 		l := w.load(args[1])
 		before := l.served()
-		waitUntil(ts, "more answers", func() bool { return l.served() > before+50 })
+		waitUntil(ts, "more responses", func() bool { return l.served() > before+50 })
 	case "stop":
 		l := w.load(args[1])
 		l.stop()
-		w.tellLate(ts)
-		l.judge(ts, args[2:])
+		w.logLate(ts)
+		l.check(ts, args[2:])
 	}
 }
 
-// tellLate logs how many requests came to their target after their deadline,
-// which tells a target that was slow from a request that was late.
-func (w *world) tellLate(ts *testscript.TestScript) {
+// logLate logs how many requests arrived at their target after their deadline, which distinguishes
+// a slow target from a late request.
+func (w *testEnv) logLate(ts *testscript.TestScript) {
 	late, most := 0, time.Duration(0)
 	for _, worker := range w.workers(ts) {
 		var j standin.TargetStats
@@ -77,47 +77,47 @@
 		late += j.Late
 		most = max(most, j.MaxLate)
 	}
-	ts.Logf("targets: %d requests came after their deadline, by %s at most", late, most)
+	ts.Logf("targets: %d requests arrived after their deadline, by %s at most", late, most)
 }
 
-func (w *world) load(name string) *load {
+func (w *testEnv) load(name string) *clientLoad {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.loads[name]
 }
 
-func (w *world) startLoad(name string, clients int, path string) {
-	l := &load{w: w, path: path, refused: make(map[string]int)}
+func (w *testEnv) startLoad(name string, clients int, path string) {
+	l := &clientLoad{w: w, path: path, refused: make(map[string]int)}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	l.client.Transport = &http.Transport{MaxIdleConnsPerHost: clients}
-	l.askEntries()
+	l.probeEntries()
 	l.group.Add(clients + 1)
-	go l.run()
+	go l.runBalancer()
 	for range clients {
-		go l.loop()
+		go l.runClient()
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.loads[name] = l
 }
 
-func (l *load) stop() {
+func (l *clientLoad) stop() {
 	l.cancel()
 	l.group.Wait()
 }
 
-func (l *load) served() int {
+func (l *clientLoad) served() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.good
+	return l.succeeded
 }
 
-func (l *load) judge(ts *testscript.TestScript, allowed []string) {
+func (l *clientLoad) check(ts *testscript.TestScript, allowed []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ts.Logf("load %s: %d served, %v refused, %d asked again, %d unknown, %d cut, %d failed", l.path, l.good, l.refused, l.busy, l.unknown, l.cut, len(l.bad))
-	if len(l.bad) > 0 {
-		ts.Fatalf("%d requests failed, such as: %s", len(l.bad), l.bad[0])
+	ts.Logf("load %s: %d served, %v refused, %d retried, %d unknown, %d at disturbed entries, %d failed", l.path, l.succeeded, l.refused, l.overloadRetries, l.unknown, l.disturbed, len(l.failures))
+	if len(l.failures) > 0 {
+		ts.Fatalf("%d requests failed, such as: %s", len(l.failures), l.failures[0])
 	}
 	if len(l.refused) > 0 && !slices.Contains(allowed, "refused") {
 		ts.Fatalf("requests were refused: %v", l.refused)
@@ -125,21 +125,21 @@
 	if l.unknown > 0 && !slices.Contains(allowed, "unknown") {
 		ts.Fatalf("%d requests have an unknown outcome", l.unknown)
 	}
-	if l.good == 0 {
+	if l.succeeded == 0 {
 		ts.Fatalf("no request was served")
 	}
 }
 
-// run is the balancer's check of the entries.
-func (l *load) run() {
+// runBalancer probes the entries periodically.
+func (l *clientLoad) runBalancer() {
 	defer l.group.Done()
 	for l.ctx.Err() == nil {
-		l.askEntries()
+		l.probeEntries()
 		time.Sleep(balancerPeriod)
 	}
 }
 
-func (l *load) askEntries() {
+func (l *clientLoad) probeEntries() {
 	l.w.mu.Lock()
 	var addresses []string
 	for _, p := range l.w.entries {
@@ -159,7 +159,7 @@
 	l.ready = ready
 }
 
-func (l *load) pick() string {
+func (l *clientLoad) pick() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.ready) == 0 {
@@ -169,19 +169,18 @@
 	return l.ready[l.next%len(l.ready)]
 }
 
-// loop is one client.
-func (l *load) loop() {
+// runClient runs one client.
+func (l *clientLoad) runClient() {
 	defer l.group.Done()
 	for l.ctx.Err() == nil {
-		l.one()
+		l.sendOne()
 	}
 }
 
-// one sends a request until it has its answer; the balancer takes another entry
-// where the connection is refused, since nothing was sent. How much an entry
-// can serve at once depends on the machine, so a caller that is told to come
-// back does so; every other refusal counts.
-func (l *load) one() {
+// sendOne sends a request until it has a response. The load balancer picks another entry if the
+// connection is refused, since nothing was sent. How much an entry can serve at once depends on the
+// machine, so a request that is refused as overloaded is retried; every other refusal counts.
+func (l *clientLoad) sendOne() {
 	id := rand.Text()
 	for l.ctx.Err() == nil {
 		address := l.pick()
@@ -196,31 +195,31 @@
 			continue
 		}
 		if outcome == errkind.Overloaded.String() {
-			l.comeBack()
+			l.waitToRetry()
 			continue
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		switch {
 		case err != nil && l.w.wasDisturbed(address):
-			l.cut++ // no process answers for one that was killed or frozen
+			l.disturbed++ // a killed or suspended process can't respond
 		case err != nil:
-			l.bad = append(l.bad, err.Error())
+			l.failures = append(l.failures, err.Error())
 		case outcome == outcomeUnknown:
 			l.unknown++
 		case outcome != "":
 			l.refused[outcome]++
 		default:
-			l.good++
+			l.succeeded++
 		}
 		return
 	}
 }
 
-// comeBack waits before a request that was refused is sent again.
-func (l *load) comeBack() {
+// waitToRetry waits before a refused request is sent again.
+func (l *clientLoad) waitToRetry() {
 	l.mu.Lock()
-	l.busy++
+	l.overloadRetries++
 	l.mu.Unlock()
 	select {
 	case <-time.After(errkind.Overloaded.Response().RetryAfter):
@@ -228,56 +227,56 @@
 	}
 }
 
-// outcomeUnknown is what send returns for an answer that says so.
+// outcomeUnknown is the outcome that send returns for a response with an unknown outcome.
 const outcomeUnknown = "unknown"
 
-// send returns "" if the whole answer to this very request came, and the kind
-// of a true refusal or outcomeUnknown if the entry said so.
-func (l *load) send(address, id string) (outcome string, err error) {
+// send returns "" if the complete response to this request was received, and otherwise the kind of
+// a refusal or outcomeUnknown, as the entry reported it.
+func (l *clientLoad) send(address, id string) (outcome string, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go caller{l.w.silence(address), ctx, cancel}.run()
+	go cancelWhenUnresponsive{l.w.unresponsive(address), ctx, cancel}.run()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+l.path, nil)
 	if err != nil {
 		return "", err
 	}
 	r.Header.Set("X-Request-Id", id)
-	answer, err := l.client.Do(r)
+	response, err := l.client.Do(r)
 	if err != nil {
 		return "", err
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return "", err
 	}
-	switch answer.Header.Get("Yardbridge-Outcome") {
+	switch response.Header.Get("Yardbridge-Outcome") {
 	case outcomeUnknown:
 		return outcomeUnknown, nil
 	case "not-run":
-		if answer.Header.Get("Retry-After") != "" {
-			return answer.Header.Get("Yardbridge-Error"), nil
+		if response.Header.Get("Retry-After") != "" {
+			return response.Header.Get("Yardbridge-Error"), nil
 		}
 	}
-	if answer.StatusCode != http.StatusOK {
-		return "", fmt.Errorf("%s: %s", answer.Status, body)
+	if response.StatusCode != http.StatusOK {
+		return "", fmt.Errorf("%s: %s", response.Status, body)
 	}
 	if !strings.Contains(string(body), "id="+id+" ") {
-		return "", fmt.Errorf("answer of another request: %s", body)
+		return "", fmt.Errorf("response to another request: %s", body)
 	}
 	return "", nil
 }
 
-// caller gives up on a request when its entry falls silent.
-type caller struct {
-	silent <-chan struct{}
-	ctx    context.Context
-	cancel context.CancelFunc
+// cancelWhenUnresponsive cancels a request when its entry becomes unresponsive.
+type cancelWhenUnresponsive struct {
+	unresponsive <-chan struct{}
+	ctx          context.Context
+	cancel       context.CancelFunc
 }
 
-func (c caller) run() {
+func (c cancelWhenUnresponsive) run() {
 	select {
-	case <-c.silent:
+	case <-c.unresponsive:
 		c.cancel()
 	case <-c.ctx.Done():
 	}
--- a/tests/main_test.go
+++ b/tests/main_test.go
@@ -13,7 +13,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// binary is the built program, with the race detector.
+// binary is the path of the program, built with the race detector.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -41,34 +41,34 @@
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(env *testscript.Env) error {
-			env.Values[worldKey{}] = newWorld(env)
+			env.Values[testEnvKey{}] = newTestEnv(env)
 			env.Setenv("PATH", filepath.Dir(binary)+string(os.PathListSeparator)+env.Getenv("PATH"))
 			return nil
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
-			"standin":    withWorld((*world).cmdStandin),
-			"patient":    withWorld((*world).cmdPatient),
-			"entry":      withWorld((*world).cmdEntry),
-			"signal":     withWorld((*world).cmdSignal),
-			"gone":       withWorld((*world).cmdGone),
-			"load":       withWorld((*world).cmdLoad),
-			"request":    withWorld((*world).cmdRequest),
-			"until":      withWorld((*world).cmdUntil),
-			"control":    withWorld((*world).cmdControl),
-			"journals":   withWorld((*world).cmdJournals),
-			"serving":    withWorld((*world).cmdServing),
-			"unused":     withWorld((*world).cmdUnused),
-			"quiet":      withWorld((*world).cmdQuiet),
-			"relay":      withWorld((*world).cmdRelay),
-			"cut":        withWorld((*world).cmdCut),
-			"rebooted":   withWorld((*world).cmdRebooted),
+			"standin":    withTestEnv((*testEnv).cmdStandin),
+			"patient":    withTestEnv((*testEnv).cmdPatient),
+			"entry":      withTestEnv((*testEnv).cmdEntry),
+			"signal":     withTestEnv((*testEnv).cmdSignal),
+			"gone":       withTestEnv((*testEnv).cmdGone),
+			"load":       withTestEnv((*testEnv).cmdLoad),
+			"request":    withTestEnv((*testEnv).cmdRequest),
+			"until":      withTestEnv((*testEnv).cmdUntil),
+			"control":    withTestEnv((*testEnv).cmdControl),
+			"journals":   withTestEnv((*testEnv).cmdJournals),
+			"serving":    withTestEnv((*testEnv).cmdServing),
+			"unused":     withTestEnv((*testEnv).cmdUnused),
+			"quiet":      withTestEnv((*testEnv).cmdQuiet),
+			"relay":      withTestEnv((*testEnv).cmdRelay),
+			"cut":        withTestEnv((*testEnv).cmdCut),
+			"rebooted":   withTestEnv((*testEnv).cmdRebooted),
 			"key":        cmdKey,
-			"eventually": withWorld((*world).cmdEventually),
-			"base":       withWorld((*world).cmdBase),
-			"background": withWorld((*world).cmdBackground),
-			"started":    withWorld((*world).cmdStarted),
-			"streaming":  withWorld((*world).cmdStreaming),
-			"finished":   withWorld((*world).cmdFinished),
+			"eventually": withTestEnv((*testEnv).cmdEventually),
+			"base":       withTestEnv((*testEnv).cmdBase),
+			"background": withTestEnv((*testEnv).cmdBackground),
+			"started":    withTestEnv((*testEnv).cmdStarted),
+			"streaming":  withTestEnv((*testEnv).cmdStreaming),
+			"finished":   withTestEnv((*testEnv).cmdFinished),
 		},
 	})
 }
--- a/tests/process_test.go
+++ b/tests/process_test.go
@@ -16,23 +16,23 @@
 
 // process is one entry process.
 type process struct {
-	name    string
-	cmd     *exec.Cmd
-	callers string
-	admin   string
-	peers   string
-	hurt    bool          // killed or frozen by the script
-	silent  chan struct{} // closed while it is killed or frozen, so that callers give up on it
-	done    chan struct{}
-	err     error
+	name         string
+	cmd          *exec.Cmd
+	callers      string
+	admin        string
+	peers        string
+	disturbed    bool          // killed or suspended by the script
+	unresponsive chan struct{} // closed while it is killed or suspended, so that callers cancel their requests
+	done         chan struct{}
+	err          error
 }
 
-// said waits for a line of a process's output and returns what the pattern
-// holds in parentheses.
-func (w *world) said(ts *testscript.TestScript, p *process, pattern string) []string {
+// awaitOutput waits for a line of a process's output that matches a pattern and returns the
+// submatches.
+func (w *testEnv) awaitOutput(ts *testscript.TestScript, p *process, pattern string) []string {
 	line := regexp.MustCompile(pattern)
 	var found []string
-	waitUntil(ts, p.name+" says "+pattern, func() bool {
+	waitUntil(ts, p.name+" prints "+pattern, func() bool {
 		data, err := os.ReadFile(filepath.Join(w.dir, p.name+".log"))
 		ts.Check(err)
 		found = line.FindStringSubmatch(string(data))
@@ -46,9 +46,9 @@
 	return found[1:]
 }
 
-// start runs the binary and kills it at the script's end.
-func (w *world) start(ts *testscript.TestScript, name string, args ...string) *process {
-	p := &process{name: name, cmd: exec.Command(binary, args...), silent: make(chan struct{}), done: make(chan struct{})}
+// start runs the binary; it is killed at the end of the script.
+func (w *testEnv) start(ts *testscript.TestScript, name string, args ...string) *process {
+	p := &process{name: name, cmd: exec.Command(binary, args...), unresponsive: make(chan struct{}), done: make(chan struct{})}
 	log, err := os.Create(filepath.Join(w.dir, name+".log"))
 	ts.Check(err)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
@@ -66,9 +66,9 @@
 	close(p.done)
 }
 
-// cmdSignal sends a signal to a process: signal NAME term|kill|stop|cont. After
-// term and kill it waits for the end, which must be clean after term.
-func (w *world) cmdSignal(ts *testscript.TestScript, _ bool, args []string) {
+// cmdSignal sends a signal to a process: signal NAME term|kill|stop|cont. After term and kill it
+// waits for the exit, which must be clean after term.
+func (w *testEnv) cmdSignal(ts *testscript.TestScript, _ bool, args []string) {
 	w.mu.Lock()
 	p := w.entries[args[0]]
 	w.mu.Unlock()
@@ -76,7 +76,7 @@
 		"term": syscall.SIGTERM, "kill": syscall.SIGKILL, "stop": syscall.SIGSTOP, "cont": syscall.SIGCONT,
 	}
 	w.mu.Lock()
-	p.disturb(args[1])
+	p.recordSignal(args[1])
 	w.mu.Unlock()
 	ts.Check(p.cmd.Process.Signal(signals[args[1]]))
 	switch args[1] {
@@ -90,37 +90,37 @@
 	}
 }
 
-// disturb notes a signal; world.mu is held.
-func (p *process) disturb(signal string) {
+// recordSignal records a signal; testEnv.mu is held.
+func (p *process) recordSignal(signal string) {
 	switch signal {
 	case "kill", "stop":
-		p.hurt = true
-		close(p.silent)
+		p.disturbed = true
+		close(p.unresponsive)
 	case "cont":
-		p.silent = make(chan struct{})
+		p.unresponsive = make(chan struct{})
 	}
 }
 
-// silence returns the channel that is closed while the entry at an address is
-// killed or frozen, nil for an unknown one.
-func (w *world) silence(callers string) <-chan struct{} {
+// unresponsive returns the channel that is closed while the entry at an address is killed or
+// suspended, nil for an unknown one.
+func (w *testEnv) unresponsive(callers string) <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, p := range w.entries {
 		if p.callers == callers {
-			return p.silent
+			return p.unresponsive
 		}
 	}
 	return nil
 }
 
-// wasDisturbed reports whether the entry at an address was killed or frozen.
-func (w *world) wasDisturbed(callers string) bool {
+// wasDisturbed reports whether the entry at an address was killed or suspended.
+func (w *testEnv) wasDisturbed(callers string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, p := range w.entries {
 		if p.callers == callers {
-			return p.hurt
+			return p.disturbed
 		}
 	}
 	return false
--- a/tests/relay_test.go
+++ b/tests/relay_test.go
@@ -10,16 +10,16 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// relay stands between an entry's address for peers and the other entries, and
-// can hold up either direction, as a network does that delivers late or not.
+// relay forwards connections from other entries to an entry's address for peers, and can delay
+// either direction, like a network that delivers late or not at all.
 type relay struct {
 	listener net.Listener
 
-	mu     sync.Mutex
-	target string        // where the entry listens, empty until it is known
-	held   map[flow]bool // directions that are held up
-	moved  chan struct{} // closed at the next change
-	conns  []net.Conn
+	mu      sync.Mutex
+	target  string        // address of the entry, empty until it is known
+	delayed map[flow]bool // delayed directions
+	changed chan struct{} // closed at the next change
+	conns   []net.Conn
 }
 
 // flow is a direction of a relay's bytes.
@@ -27,69 +27,69 @@
 
 // The directions, as seen by the entry behind the relay.
 const (
-	inward  flow = "in"  // what other entries send
-	outward flow = "out" // what the entry answers
+	inward  flow = "in"  // from other entries
+	outward flow = "out" // responses of the entry
 )
 
-// cmdRelay puts a relay before an entry that is yet to be started: relay NAME.
-func (w *world) cmdRelay(ts *testscript.TestScript, _ bool, args []string) {
+// cmdRelay puts a relay in front of an entry that is not started yet: relay NAME.
+func (w *testEnv) cmdRelay(ts *testscript.TestScript, _ bool, args []string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	ts.Check(err)
-	r := &relay{listener: l, held: make(map[flow]bool), moved: make(chan struct{})}
+	r := &relay{listener: l, delayed: make(map[flow]bool), changed: make(chan struct{})}
 	w.relays[args[0]] = r
 	go r.run()
 }
 
-// cmdCut holds up bytes of other entries to one: cut NAME [in] [out]; without
-// a direction all go through again, those held up before included.
-func (w *world) cmdCut(_ *testscript.TestScript, _ bool, args []string) {
+// cmdCut delays the bytes between other entries and one: cut NAME [in] [out]. Without a direction
+// all bytes pass again, including delayed ones.
+func (w *testEnv) cmdCut(_ *testscript.TestScript, _ bool, args []string) {
 	r := w.relays[args[0]]
 	r.change(func() {
-		clear(r.held)
+		clear(r.delayed)
 		for _, f := range args[1:] {
-			r.held[flow(f)] = true
+			r.delayed[flow(f)] = true
 		}
 	})
 }
 
-// change changes the relay and wakes what waits for it.
+// change changes the relay and wakes its waiting connections.
 func (r *relay) change(do func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	do()
-	close(r.moved)
-	r.moved = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-// end closes everything.
+// end closes the listener and all connections.
 func (r *relay) end() {
 	_ = r.listener.Close()
 	r.change(func() {
-		clear(r.held)
+		clear(r.delayed)
 		for _, c := range r.conns {
 			_ = c.Close()
 		}
 	})
 }
 
-// run takes connections until the relay ends.
+// run accepts connections until the relay ends.
 func (r *relay) run() {
 	for {
 		from, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go passage{r, from}.run()
+		go relayedConn{r, from}.run()
 	}
 }
 
-// passage is one connection through a relay.
-type passage struct {
+// relayedConn is one connection through a relay.
+type relayedConn struct {
 	r    *relay
 	from net.Conn
 }
 
-func (p passage) run() {
+func (p relayedConn) run() {
 	p.r.wait(inward)
 	p.r.mu.Lock()
 	target := p.r.target
@@ -106,11 +106,11 @@
 	pipe{p.r, inward, p.from, to}.run()
 }
 
-// wait returns once the target is known and a direction is not held up.
+// wait returns once the target is known and a direction is not delayed.
 func (r *relay) wait(f flow) {
 	for {
 		r.mu.Lock()
-		free, moved := r.target != "" && !r.held[f], r.moved
+		free, moved := r.target != "" && !r.delayed[f], r.changed
 		r.mu.Unlock()
 		if free {
 			return
@@ -126,7 +126,7 @@
 	from, to net.Conn
 }
 
-// run passes bytes on, none while its direction is held up.
+// run forwards bytes, but none while its direction is delayed.
 func (p pipe) run() {
 	defer p.from.Close()
 	defer p.to.Close()
--- a/tests/target_test.go
+++ b/tests/target_test.go
@@ -19,22 +19,21 @@
 	"github.com/yardbridge/yardbridge/standin"
 )
 
-// api reads an answer of the administration API.
+// api reads a response of the administration API.
 func api(ts *testscript.TestScript, path string, v any) error {
 	r, err := http.NewRequest(http.MethodGet, "http://"+ts.Getenv("YARDBRIDGE_SERVER")+apiv1.Prefix+path, nil)
 	ts.Check(err)
 	r.Header.Set("Authorization", "Bearer "+token)
-	answer, err := http.DefaultClient.Do(r)
+	response, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	return json.NewDecoder(answer.Body).Decode(v)
+	defer response.Body.Close()
+	return json.NewDecoder(response.Body).Decode(v)
 }
 
-// cmdServing sets a variable to a worker that serves in a pool:
-// serving NAME POOL.
-func (w *world) cmdServing(ts *testscript.TestScript, _ bool, args []string) {
+// cmdServing sets a variable to a worker that serves in a pool: serving NAME POOL.
+func (w *testEnv) cmdServing(ts *testscript.TestScript, _ bool, args []string) {
 	var rows []apiv1.InstanceStatus
 	ts.Check(api(ts, "/instances", &rows))
 	for _, r := range rows {
@@ -46,9 +45,8 @@
 	ts.Fatalf("no worker serves in %s", args[1])
 }
 
-// cmdUnused waits until the entry in YARDBRIDGE_SERVER uses a target no more:
-// unused WORKER.
-func (w *world) cmdUnused(ts *testscript.TestScript, _ bool, args []string) {
+// cmdUnused waits until the entry in YARDBRIDGE_SERVER no longer uses a target: unused WORKER.
+func (w *testEnv) cmdUnused(ts *testscript.TestScript, _ bool, args []string) {
 	waitUntil(ts, args[0]+" is unused", func() bool {
 		var d entry.Dump
 		if api(ts, "/dump", &d) != nil {
@@ -63,9 +61,8 @@
 	})
 }
 
-// cmdQuiet checks that a target gets no request while others do:
-// quiet WORKER LOAD.
-func (w *world) cmdQuiet(ts *testscript.TestScript, _ bool, args []string) {
+// cmdQuiet checks that a target gets no request while others do: quiet WORKER LOAD.
+func (w *testEnv) cmdQuiet(ts *testscript.TestScript, _ bool, args []string) {
 	journal := func() standin.TargetStats {
 		var j standin.TargetStats
 		getJSON(ts, "http://"+w.standin+"/control/targets/"+url.PathEscape(args[0])+"/journal", &j)
@@ -78,14 +75,13 @@
 	}
 }
 
-// cmdRebooted waits until so many instances of a pool were rebooted and serve
-// again: rebooted POOL N. That lasts, while a phase may be over too soon to be
-// seen.
-func (w *world) cmdRebooted(ts *testscript.TestScript, _ bool, args []string) {
+// cmdRebooted waits until a number of instances of a pool have rebooted and serve again: rebooted
+// POOL N. That condition is permanent, whereas a phase may end too quickly to be observed.
+func (w *testEnv) cmdRebooted(ts *testscript.TestScript, _ bool, args []string) {
 	want, err := strconv.Atoi(args[1])
 	ts.Check(err)
 	var rows []apiv1.InstanceStatus
-	describe := func() string { return fmt.Sprintf("%s reboots of %s; the last answer: %+v", args[1], args[0], rows) }
+	describe := func() string { return fmt.Sprintf("%s reboots of %s; the last response: %+v", args[1], args[0], rows) }
 	waitFor(ts, describe, func() bool {
 		rows = nil
 		if api(ts, "/instances", &rows) != nil {
@@ -103,7 +99,7 @@
 }
 
 // boots returns how often each worker has booted, by the platform's list.
-func (w *world) boots(ts *testscript.TestScript) map[string]int {
+func (w *testEnv) boots(ts *testscript.TestScript) map[string]int {
 	var list platform.Listing
 	getJSON(ts, "http://"+w.standin+"/instances", &list)
 	boots := make(map[string]int)
--- a/tests/world_test.go
+++ b/tests/world_test.go
@@ -24,47 +24,47 @@
 
 const token = "a-token-for-the-tests"
 
-// patience ends a script that waits for what never comes; it proves nothing.
-const patience = 90 * time.Second
+// waitLimit ends a script that waits for an event that does not happen; it is not a measured bound.
+const waitLimit = 90 * time.Second
 
-type worldKey struct{}
+type testEnvKey struct{}
 
-// world is what one script has started.
-type world struct {
+// testEnv holds what one script has started.
+type testEnv struct {
 	dir     string
 	standin string // address
 
 	mu      sync.Mutex
 	entries map[string]*process
-	loads   map[string]*load
-	relays  map[string]*relay // by entry; only the script uses it
+	loads   map[string]*clientLoad
+	relays  map[string]*relay // by entry; used by the script only
 
-	background *exchange // the newest request in the background
+	background *exchange // latest background request
 }
 
-func newWorld(env *testscript.Env) *world {
-	w := &world{
-		dir: env.WorkDir, entries: make(map[string]*process), loads: make(map[string]*load), relays: make(map[string]*relay),
+func newTestEnv(env *testscript.Env) *testEnv {
+	w := &testEnv{
+		dir: env.WorkDir, entries: make(map[string]*process), loads: make(map[string]*clientLoad), relays: make(map[string]*relay),
 	}
 	env.Defer(w.end)
 	return w
 }
 
-func withWorld(do func(*world, *testscript.TestScript, bool, []string)) func(*testscript.TestScript, bool, []string) {
+func withTestEnv(do func(*testEnv, *testscript.TestScript, bool, []string)) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
-		w, _ := ts.Value(worldKey{}).(*world)
+		w, _ := ts.Value(testEnvKey{}).(*testEnv)
 		do(w, ts, neg, args)
 	}
 }
 
-// end stops whatever still runs; the entries first, since loads wait for them.
-func (w *world) end() {
+// end stops everything that still runs; the entries first, since loads wait for them.
+func (w *testEnv) end() {
 	for _, r := range w.relays {
 		r.end()
 	}
 	w.mu.Lock()
 	for _, p := range w.entries {
-		p.hurt = true
+		p.disturbed = true
 		_ = p.cmd.Process.Kill()
 		<-p.done
 	}
@@ -75,34 +75,34 @@
 }
 
 // cmdStandin starts the stand-in with an example's fleet: standin EXAMPLE [flags].
-func (w *world) cmdStandin(ts *testscript.TestScript, _ bool, args []string) {
+func (w *testEnv) cmdStandin(ts *testscript.TestScript, _ bool, args []string) {
 	example, err := examples.Get(args[0])
 	ts.Check(err)
 	fleet := filepath.Join(w.dir, "fleet.toml")
 	ts.Check(os.WriteFile(fleet, []byte(example.Fleet), 0o600))
 	ts.Check(os.WriteFile(filepath.Join(w.dir, "example.toml"), []byte(example.Manifest), 0o600))
 	p := w.start(ts, "standin", append([]string{"standin", "-listen", "127.0.0.1:0", "-fleet", fleet}, args[1:]...)...)
-	w.standin = w.said(ts, p, `stand-in with .* at (\S+)`)[0]
+	w.standin = w.awaitOutput(ts, p, `stand-in with .* at (\S+)`)[0]
 }
 
-// patientDeadline is longer than a busy machine keeps a process from a processor: with
-// eight copies of a script on three processors, requests were measured that ended some
-// 6 s after they had come. A request that waits for longer still fails its script.
-const patientDeadline = "20s"
+// longDeadline is longer than a busy machine keeps a process waiting for a processor: with eight
+// copies of a script on three processors, requests were measured that ended about 6 s after their
+// arrival. A request that waits longer still fails its script.
+const longDeadline = "20s"
 
 var deadlineLine = regexp.MustCompile(`(?m)^deadline = "[0-9]+s"`)
 
-// cmdPatient gives the services of the example a deadline that no starved
-// process passes: patient. A script that stops or cuts processes shows what they
-// lose; what they owe in time is held by tests on a clock of their own.
-func (w *world) cmdPatient(ts *testscript.TestScript, _ bool, _ []string) {
+// cmdPatient gives the services of the example a deadline that even a starved process meets:
+// patient. A script that stops or disconnects processes shows which requests they lose; their
+// deadlines are checked by tests with their own clock.
+func (w *testEnv) cmdPatient(ts *testscript.TestScript, _ bool, _ []string) {
 	path := filepath.Join(w.dir, "example.toml")
 	text, err := os.ReadFile(path)
 	ts.Check(err)
 	if !deadlineLine.Match(text) {
 		ts.Fatalf("the example has no deadline")
 	}
-	ts.Check(os.WriteFile(path, deadlineLine.ReplaceAll(text, []byte(`deadline = "`+patientDeadline+`"`)), 0o600))
+	ts.Check(os.WriteFile(path, deadlineLine.ReplaceAll(text, []byte(`deadline = "`+longDeadline+`"`)), 0o600))
 }
 
 const settingsFormat = `
@@ -133,18 +133,18 @@
 `
 
 // cmdEntry starts an entry and waits until it is ready: entry NAME HALL.
-func (w *world) cmdEntry(ts *testscript.TestScript, _ bool, args []string) {
-	name, hall := args[0], args[1]
+func (w *testEnv) cmdEntry(ts *testscript.TestScript, _ bool, args []string) {
+	name, dataCenter := args[0], args[1]
 	path := filepath.Join(w.dir, name+".toml")
 	r, advertise := w.relays[name], ""
 	if r != nil {
 		advertise = r.listener.Addr().String()
 	}
-	text := fmt.Sprintf(settingsFormat, name, hall, w.standin, w.seeds(), advertise, token)
+	text := fmt.Sprintf(settingsFormat, name, dataCenter, w.standin, w.seeds(), advertise, token)
 	ts.Check(os.WriteFile(path, []byte(text), 0o600))
 	w.control(ts, "/control/entries/"+name+"/listed", "")
 	p := w.start(ts, name, "serve", "-settings", path)
-	addresses := w.said(ts, p, `serves callers at (\S+), administration at (\S+), peers at (\S+)`)
+	addresses := w.awaitOutput(ts, p, `serves callers at (\S+), administration at (\S+), peers at (\S+)`)
 	w.mu.Lock()
 	p.callers, p.admin, p.peers = addresses[0], addresses[1], addresses[2]
 	w.mu.Unlock()
@@ -156,7 +156,7 @@
 	ts.Setenv(strings.ToUpper(name), p.admin)
 }
 
-func (w *world) seeds() string {
+func (w *testEnv) seeds() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var seeds []string
@@ -168,31 +168,31 @@
 	return strings.Join(seeds, ", ")
 }
 
-// cmdGone takes an entry off the platform's list: gone NAME.
-func (w *world) cmdGone(ts *testscript.TestScript, _ bool, args []string) {
+// cmdGone removes an entry from the platform's list: gone NAME.
+func (w *testEnv) cmdGone(ts *testscript.TestScript, _ bool, args []string) {
 	w.control(ts, "/control/entries/"+args[0]+"/gone", "")
 }
 
 // control posts to the stand-in.
-func (w *world) control(ts *testscript.TestScript, path, body string) {
-	answer, err := http.Post("http://"+w.standin+path, "application/json", strings.NewReader(body))
+func (w *testEnv) control(ts *testscript.TestScript, path, body string) {
+	response, err := http.Post("http://"+w.standin+path, "application/json", strings.NewReader(body))
 	ts.Check(err)
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		ts.Fatalf("%s: %s", path, answer.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		ts.Fatalf("%s: %s", path, response.Status)
 	}
 }
 
 // cmdControl posts to the stand-in: control PATH [BODY].
-func (w *world) cmdControl(ts *testscript.TestScript, _ bool, args []string) {
+func (w *testEnv) cmdControl(ts *testscript.TestScript, _ bool, args []string) {
 	w.control(ts, "/control/"+args[0], strings.Join(args[1:], " "))
 }
 
-// cmdUntil runs a command of the program until its output holds a text:
-// until TEXT ARGS...; negated, until it does not.
-func (w *world) cmdUntil(ts *testscript.TestScript, neg bool, args []string) {
+// cmdUntil runs a command of the program until its output contains a text: until TEXT ARGS...;
+// negated, until it does not.
+func (w *testEnv) cmdUntil(ts *testscript.TestScript, neg bool, args []string) {
 	var out []byte
-	describe := func() string { return fmt.Sprintf("%s; the last answer:\n%s", strings.Join(args, " "), out) }
+	describe := func() string { return fmt.Sprintf("%s; the last output:\n%s", strings.Join(args, " "), out) }
 	waitFor(ts, describe, func() bool {
 		var err error
 		out, err = w.command(ts, args[1:]...).CombinedOutput()
@@ -201,15 +201,15 @@
 }
 
 // command prepares a run of the program as an operator.
-func (w *world) command(ts *testscript.TestScript, args ...string) *exec.Cmd {
+func (w *testEnv) command(ts *testscript.TestScript, args ...string) *exec.Cmd {
 	cmd := exec.Command(binary, args...)
 	cmd.Env = append(os.Environ(), "YARDBRIDGE_TOKEN="+token, "YARDBRIDGE_SERVER="+ts.Getenv("YARDBRIDGE_SERVER"))
 	return cmd
 }
 
-// cmdJournals checks what all targets have seen: journals max-in-flight N
-// fails beyond N; journals runs-once fails if a key ran twice.
-func (w *world) cmdJournals(ts *testscript.TestScript, _ bool, args []string) {
+// cmdJournals checks the journals of all targets: journals max-in-flight N fails if a target had
+// more than N requests at once; journals runs-once fails if a key ran twice.
+func (w *testEnv) cmdJournals(ts *testscript.TestScript, _ bool, args []string) {
 	for _, worker := range w.workers(ts) {
 		var j standin.TargetStats
 		getJSON(ts, "http://"+w.standin+"/control/targets/"+worker+"/journal", &j)
@@ -228,7 +228,7 @@
 	}
 }
 
-func (w *world) workers(ts *testscript.TestScript) []string {
+func (w *testEnv) workers(ts *testscript.TestScript) []string {
 	var list struct {
 		Workers []struct {
 			ID string `json:"id"`
@@ -243,33 +243,33 @@
 }
 
 func getJSON(ts *testscript.TestScript, url string, v any) {
-	answer, err := http.Get(url)
+	response, err := http.Get(url)
 	ts.Check(err)
-	defer answer.Body.Close()
-	ts.Check(json.NewDecoder(answer.Body).Decode(v))
+	defer response.Body.Close()
+	ts.Check(json.NewDecoder(response.Body).Decode(v))
 }
 
 func getOK(url string) bool {
 	client := http.Client{Timeout: time.Second}
-	answer, err := client.Get(url)
+	response, err := client.Get(url)
 	if err != nil {
 		return false
 	}
-	defer answer.Body.Close()
-	return answer.StatusCode == http.StatusOK
+	defer response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
 
-// waitUntil polls a condition; only its truth counts, not how long it took.
+// waitUntil polls a condition; how long it takes is not checked.
 func waitUntil(ts *testscript.TestScript, what string, ok func() bool) {
 	waitFor(ts, func() string { return what }, ok)
 }
 
-// waitFor is waitUntil for a wait that tells its story only once it has ended.
+// waitFor is waitUntil with a description that is built only when the wait has failed.
 func waitFor(ts *testscript.TestScript, describe func() string, ok func() bool) {
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitLimit)
 	for !ok() {
 		if time.Now().After(end) {
-			ts.Fatalf("gave up waiting: %s", describe())
+			ts.Fatalf("timed out waiting: %s", describe())
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
