--- a/benchmarks/cluster_test.go
+++ b/benchmarks/cluster_test.go
@@ -21,29 +21,29 @@
 	"github.com/yardbridge/yardbridge/standin"
 )
 
-// cluster is a stand-in with targets and some entries, in this process.
+// cluster is a stand-in with targets and several entries, in this process.
 type cluster struct {
 	platform *standin.RunningServer
 	daemons  []*daemon.Daemon
 	client   *http.Client
 }
 
-const halls = 3
+const dataCenters = 3
 
-// fleetOf returns workers in racks of four, over three halls.
+// fleetOf returns workers in racks of four, in three data centres.
 func fleetOf(n int) []fleet.Worker {
 	var workers []fleet.Worker
 	for i := range n {
 		rack := i / 4
 		workers = append(workers, fleet.Worker{
-			ID: fmt.Sprintf("w%04d", i), DataCenter: fmt.Sprintf("hall-%d", rack%halls), Rack: fmt.Sprintf("r%d", rack),
+			ID: fmt.Sprintf("w%04d", i), DataCenter: fmt.Sprintf("hall-%d", rack%dataCenters), Rack: fmt.Sprintf("r%d", rack),
 			Cores: 16, MemoryGB: 32, Slots: 8, Connections: 64, Condition: fleet.Live,
 		})
 	}
 	return workers
 }
 
-// benchManifest has one pool of a size with a service on it.
+// benchManifest declares one pool with services on it.
 const benchManifest = `
 deployment = "bench"
 [[team]]
@@ -95,7 +95,7 @@
 func (c *cluster) add(b *testing.B, n, entries int) {
 	b.Helper()
 	s := setting.Default()
-	s.Entry = setting.Entry{Name: fmt.Sprintf("e%03d", n), Hall: fmt.Sprintf("hall-%d", n%halls)}
+	s.Entry = setting.Entry{Name: fmt.Sprintf("e%03d", n), Hall: fmt.Sprintf("hall-%d", n%dataCenters)}
 	s.Listen = setting.Listen{Callers: "127.0.0.1:0", Admin: "127.0.0.1:0", Peers: "127.0.0.1:0"}
 	s.Platform.URL = "http://" + c.platform.Address
 	s.Peers.Insecure = true
@@ -111,7 +111,7 @@
 
 func (c *cluster) apply(b *testing.B, file manifest.File) time.Duration {
 	b.Helper()
-	begun := time.Now()
+	startedAt := time.Now()
 	r, err := c.daemons[0].Entry.Rollout.Apply(context.Background(), rollout.Request{File: file, AllowShortage: true})
 	if err != nil {
 		b.Fatal(err)
@@ -119,7 +119,7 @@
 	if !r.InForce {
 		b.Fatalf("not in force on %v", r.Lagging)
 	}
-	return time.Since(begun)
+	return time.Since(startedAt)
 }
 
 func (c *cluster) close() {
@@ -135,7 +135,7 @@
 	return "http://" + c.daemons[entry%len(c.daemons)].CallerAddress + path
 }
 
-// maxSlots returns the most requests that a target had at once.
+// maxSlots returns the largest number of requests that a target had at once.
 func (c *cluster) maxSlots() int {
 	most := 0
 	for _, t := range c.platform.Server.Targets {
@@ -144,18 +144,18 @@
 	return most
 }
 
-// get sends a request and reads the whole answer.
+// get sends a request and reads the complete response.
 func get(client *http.Client, url string) (int, error) {
-	answer, err := client.Get(url)
+	response, err := client.Get(url)
 	if err != nil {
 		return 0, err
 	}
-	defer answer.Body.Close()
-	_, err = io.Copy(io.Discard, answer.Body)
-	return answer.StatusCode, err
+	defer response.Body.Close()
+	_, err = io.Copy(io.Discard, response.Body)
+	return response.StatusCode, err
 }
 
-// platformClient returns a client of the stand-in beside those of the entries.
+// platformClient returns a client of the stand-in in addition to those of the entries.
 func (c *cluster) platformClient() *platformhttp.Client {
 	return &platformhttp.Client{Base: "http://" + c.platform.Address, Name: "benchmark"}
 }
--- a/benchmarks/control_test.go
+++ b/benchmarks/control_test.go
@@ -16,7 +16,7 @@
 	"github.com/yardbridge/yardbridge/services/platform"
 )
 
-// usage is what all entries of this process have used up to a moment.
+// usage is the resource use of all entries of this process up to a moment.
 type usage struct {
 	at    time.Time
 	cpu   time.Duration
@@ -39,8 +39,8 @@
 	return u
 }
 
-// report reports what one node used between two moments; the processor time
-// is that of the whole process, the stand-in included.
+// report reports the resource use of one node between two moments; the processor time is that of
+// the whole process, including the stand-in.
 func (c *cluster) report(b *testing.B, from, to usage) {
 	b.Helper()
 	nodes := float64(len(c.daemons))
@@ -54,28 +54,29 @@
 	b.ReportMetric(float64(m.HeapAlloc)/nodes/(1<<20), "heap-MB")
 }
 
-// settle is how long a cluster rests first; the first snapshot falls into it.
-const settle = 8 * time.Second
+// settleTime is how long a cluster runs before the measurement; the first snapshot falls into that
+// time.
+const settleTime = 8 * time.Second
 
-const controlSpan = 8 * time.Second
+const measureTime = 8 * time.Second
 
-// BenchmarkControl measures what control costs a node, at rest and while the
-// configuration changes twice a second.
+// BenchmarkControl measures the cost of control on a node, at rest and while the configuration
+// changes twice a second.
 func BenchmarkControl(b *testing.B) {
 	for _, entries := range []int{9, 30, 60, 120} {
 		c := (*cluster)(nil)
 		b.Run(fmt.Sprintf("entries=%d/rest", entries), func(b *testing.B) {
 			c = newCluster(b, entries, 12, time.Second, 64)
-			time.Sleep(settle)
+			time.Sleep(settleTime)
 			from := c.usage(b)
-			time.Sleep(controlSpan)
+			time.Sleep(measureTime)
 			c.report(b, from, c.usage(b))
 		})
 		b.Run(fmt.Sprintf("entries=%d/changes", entries), func(b *testing.B) {
 			c = newCluster(b, entries, 12, time.Second, 64)
-			time.Sleep(settle)
+			time.Sleep(settleTime)
 			from := c.usage(b)
-			for n := 0; time.Since(from.at) < controlSpan; n++ {
+			for n := 0; time.Since(from.at) < measureTime; n++ {
 				c.apply(b, manifest.File{Deployment: "c", Teams: []manifest.Team{{Name: "c", QuotaCores: n + 1}}})
 				time.Sleep(500 * time.Millisecond)
 			}
@@ -84,29 +85,29 @@
 	}
 }
 
-// BenchmarkControlWorkers measures how a node's control grows with the fleet.
+// BenchmarkControlWorkers measures how the cost of control on a node grows with the fleet.
 func BenchmarkControlWorkers(b *testing.B) {
 	for _, workers := range []int{12, 200, 500, 1000} {
 		b.Run(fmt.Sprintf("entries=9/workers=%d", workers), func(b *testing.B) {
 			c := newCluster(b, 9, workers, time.Second, 64)
-			time.Sleep(settle)
+			time.Sleep(settleTime)
 			from := c.usage(b)
-			time.Sleep(controlSpan)
+			time.Sleep(measureTime)
 			c.report(b, from, c.usage(b))
 		})
 	}
 }
 
-// BenchmarkMembership measures the heartbeats alone: bytes and processor time
-// a node, how soon the loss of an entry is seen by all, and false alarms.
+// BenchmarkMembership measures the heartbeats alone: bytes and processor time for each node, the
+// time until all entries detect the loss of one, and false alarms.
 func BenchmarkMembership(b *testing.B) {
 	for _, entries := range []int{9, 30, 60, 120, 200} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			c := newCluster(b, entries, 4, time.Second, 64)
-			time.Sleep(settle)
+			time.Sleep(settleTime)
 			from := c.usage(b)
 			alarms := 0
-			for time.Since(from.at) < controlSpan {
+			for time.Since(from.at) < measureTime {
 				alarms += c.suspected("")
 				time.Sleep(500 * time.Millisecond)
 			}
@@ -124,7 +125,7 @@
 	}
 }
 
-// suspected counts the entries that take another for dead: a named one, or
+// suspected counts the pairs of an entry and another entry that it considers dead: a named one, or
 // any for the empty name.
 func (c *cluster) suspected(name string) int {
 	n := 0
@@ -138,8 +139,8 @@
 	return n
 }
 
-// BenchmarkReports measures what one reading of all of the workers' reports
-// brings to the holder of the jobs' role.
+// BenchmarkReports measures the bytes of one full read of the workers' reports by the holder of the
+// jobs role.
 func BenchmarkReports(b *testing.B) {
 	for _, tasks := range []int{500, 1000, 2000, 4000} {
 		b.Run(fmt.Sprintf("tasks=%d", tasks), func(b *testing.B) {
--- a/benchmarks/doc.go
+++ b/benchmarks/doc.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package benchmarks measures whole entries and the decisions at the design
-// size; "make measure" runs it and keeps the figures.
+// Package benchmarks measures complete entries, and decisions at the design size; "make measure"
+// runs it and stores the results.
 package benchmarks
--- a/benchmarks/maintain_test.go
+++ b/benchmarks/maintain_test.go
@@ -18,45 +18,45 @@
 	"github.com/yardbridge/yardbridge/services/pools"
 )
 
-// cycle is a run of maintenance over one period.
-type cycle struct {
-	y        *yard
-	random   *rand.Rand
-	back     map[string]time.Time // end of a reboot or of a failure
-	failures int
-	breaks   int
-	moves    int
-	reboots  int
-	slack    float64 // spare instances in pools and beside them, summed over steps
-	steps    int
-	idle     int             // steps in which nothing was under maintenance
-	late     map[string]bool // workers that were overdue at some step
+// maintenanceRun is a simulation of maintenance over one period.
+type maintenanceRun struct {
+	y            *stateBuilder
+	random       *rand.Rand
+	returnsAt    map[string]time.Time // by worker, end of a reboot or of a failure
+	failures     int
+	budgetBreaks int
+	moves        int
+	reboots      int
+	slack        float64 // spare instances in pools and outside them, summed over steps
+	steps        int
+	idle         int             // steps without an instance in maintenance
+	overdue      map[string]bool // workers that were overdue at some step
 
-	work      bool                 // long jobs run
-	submitted int                  // jobs so far
+	longJobs  bool                 // whether long jobs run
+	submitted int                  // number of submitted jobs
 	jobMoves  int                  // runs that were stopped for a drain
-	ends      map[string]time.Time // of runs, by ID
+	runEnds   map[string]time.Time // end times of runs, by ID and attempt
 }
 
-// maintain plays a period with failures at the rates of the users' plan for
-// 3,000 workers: 35 fail and 260 are replaced on a day, scaled to the fleet.
-func maintain(z size, period, step time.Duration) *cycle {
-	return maintainYard(newYard(z), z, period, step)
+// simulateMaintenance simulates a period with failures at the rates of the users' plan for 3,000
+// workers, scaled to the fleet: 35 fail and 260 are replaced each day.
+func simulateMaintenance(z size, period, step time.Duration) *maintenanceRun {
+	return simulateMaintenanceOf(newState(z), z, period, step)
 }
 
-func maintainYard(y *yard, z size, period, step time.Duration) *cycle {
-	return newCycle(y).play(z, period, step)
+func simulateMaintenanceOf(y *stateBuilder, z size, period, step time.Duration) *maintenanceRun {
+	return newMaintenanceRun(y).simulate(z, period, step)
 }
 
-func newCycle(y *yard) *cycle {
-	return &cycle{
+func newMaintenanceRun(y *stateBuilder) *maintenanceRun {
+	return &maintenanceRun{
 		y: y, random: rand.New(rand.NewPCG(3, 4)),
-		back: make(map[string]time.Time), late: make(map[string]bool), ends: make(map[string]time.Time),
+		returnsAt: make(map[string]time.Time), overdue: make(map[string]bool), runEnds: make(map[string]time.Time),
 	}
 }
 
-// play plays a time with maintenance every six weeks.
-func (c *cycle) play(z size, period, step time.Duration) *cycle {
+// simulate simulates a time with maintenance every six weeks.
+func (c *maintenanceRun) simulate(z size, period, step time.Duration) *maintenanceRun {
 	y := c.y
 	y.plan()
 	m := &manifest.Maintenance{Name: "m"}
@@ -68,9 +68,9 @@
 		c.fail(perStep)
 		c.restore()
 		for range 3 { // drain, idle, reboot
-			c.act(y.plan())
+			c.applyPlan(y.plan())
 		}
-		if c.work {
+		if c.longJobs {
 			c.runJobs(z)
 		}
 		c.count()
@@ -78,8 +78,8 @@
 	return c
 }
 
-// fail takes random workers off the list for an hour.
-func (c *cycle) fail(mean float64) {
+// fail removes random workers from the list for an hour.
+func (c *maintenanceRun) fail(mean float64) {
 	for c.random.Float64() < mean {
 		mean--
 		id := fmt.Sprintf("w%04d", c.random.IntN(c.y.s.Instances.Len()))
@@ -88,33 +88,33 @@
 			continue
 		}
 		c.failures++
-		c.see(i.Worker.WithCondition(fleet.Gone))
-		c.back[id] = c.y.now.Add(50 * time.Minute)
+		c.updateWorker(i.Worker.WithCondition(fleet.Gone))
+		c.returnsAt[id] = c.y.now.Add(50 * time.Minute)
 	}
 }
 
-func (c *cycle) see(w fleet.Worker) {
+func (c *maintenanceRun) updateWorker(w fleet.Worker) {
 	c.y.fold(record.Record{ListUpdate: &record.ListUpdate{Revision: c.y.s.ListRevision + 1, Workers: []fleet.Worker{w}}})
 }
 
-// restore brings back what has rebooted or was mended.
-func (c *cycle) restore() {
-	for id, at := range c.back {
+// restore returns workers that have rebooted or recovered.
+func (c *maintenanceRun) restore() {
+	for id, at := range c.returnsAt {
 		if c.y.now.Before(at) {
 			continue
 		}
-		delete(c.back, id)
+		delete(c.returnsAt, id)
 		if i, ok := c.y.s.Instances.Get(id); ok {
 			w := i.Worker.WithCondition(fleet.Live)
 			w.BootCount++
-			c.see(w)
+			c.updateWorker(w)
 		}
 	}
 }
 
-// act does what the plan's records ask of owners and platform.
-func (c *cycle) act(p pools.Plan) {
-	c.moves += moved(p)
+// applyPlan performs what the plan's records require of owners and platform.
+func (c *maintenanceRun) applyPlan(p pools.Plan) {
+	c.moves += countMoves(p)
 	for worker := range c.y.s.OutOfService() {
 		for id, r := range c.y.s.RunsOn(worker) {
 			c.jobMoves++
@@ -129,13 +129,13 @@
 	for _, r := range p.Records {
 		if r.Reboot != nil {
 			c.reboots++
-			c.back[r.Reboot.Worker] = c.y.now.Add(10 * time.Minute)
+			c.returnsAt[r.Reboot.Worker] = c.y.now.Add(10 * time.Minute)
 		}
 	}
 }
 
-// count checks every budget and sums the slack.
-func (c *cycle) count() {
+// count checks every budget and sums the spare instances.
+func (c *maintenanceRun) count() {
 	c.steps++
 	under := 0
 	for range c.y.s.OutOfService() {
@@ -146,57 +146,57 @@
 	}
 	for id, i := range c.y.s.Instances.All() {
 		if c.y.now.Sub(i.MaintainedAt) > cyclePeriod {
-			c.late[id] = true
+			c.overdue[id] = true
 		}
 	}
 	for _, p := range c.y.s.Catalog.Pools() {
 		h := c.y.s.Headroom(p)
 		if h.Serving < p.MinAvailable {
-			c.breaks++
+			c.budgetBreaks++
 		}
 		c.slack += float64(h.Serving - p.MinAvailable)
 	}
 	c.slack += float64(len(c.y.s.PoolInstances(manifest.SparePool)))
 }
 
-// cyclePeriod is the period of maintenance, and cyclePlayed the time that is
-// played, in which everything becomes due once.
+// cyclePeriod is the maintenance period, and simulatedTime the simulated time, in which everything
+// becomes due once.
 const (
-	cyclePeriod = 6 * 7 * 24 * time.Hour
-	cyclePlayed = cyclePeriod * 5 / 4
+	cyclePeriod   = 6 * 7 * 24 * time.Hour
+	simulatedTime = cyclePeriod * 5 / 4
 )
 
-// BenchmarkMaintain plays a period of six weeks and some more.
+// BenchmarkMaintain simulates a period of six weeks and a quarter of it more.
 func BenchmarkMaintain(b *testing.B) {
-	for _, z := range []size{today, {400, 16, 10, 0, 0}} {
+	for _, z := range []size{currentSize, {400, 16, 10, 0, 0}} {
 		b.Run(z.String(), func(b *testing.B) {
-			var last *cycle
+			var last *maintenanceRun
 			for range b.N {
-				last = maintain(z, cyclePlayed, 30*time.Minute)
+				last = simulateMaintenance(z, simulatedTime, 30*time.Minute)
 			}
 			last.report(b)
 		})
 	}
 }
 
-func (c *cycle) report(b *testing.B) {
+func (c *maintenanceRun) report(b *testing.B) {
 	workers := float64(c.y.s.Instances.Len())
-	b.ReportMetric(float64(c.breaks), "budget-breaks")
+	b.ReportMetric(float64(c.budgetBreaks), "budget-breaks")
 	b.ReportMetric(float64(c.moves), "moves")
 	b.ReportMetric(float64(c.reboots), "reboots")
 	b.ReportMetric(float64(c.failures), "failures")
-	b.ReportMetric(1-float64(len(c.late))/workers, "in-time-share")
+	b.ReportMetric(1-float64(len(c.overdue))/workers, "in-time-share")
 	b.ReportMetric(c.slack/float64(c.steps)/workers, "spare-share")
 	b.ReportMetric(float64(c.steps-c.idle)/float64(c.steps), "busy-share")
 }
 
-// runJobs keeps a long job for every third worker running or waiting; a run
-// that was stopped begins anew.
-func (c *cycle) runJobs(z size) {
+// runJobs keeps a long job running or waiting for every third worker; a run that was stopped starts
+// again.
+func (c *maintenanceRun) runJobs(z size) {
 	const length = 6 * time.Hour
 	waitingOrRunning := 0
 	for id, r := range c.y.s.ActiveRuns() {
-		if end, ok := c.ends[fmt.Sprint(id, r.Attempt)]; r.Active() && ok && !c.y.now.Before(end) {
+		if end, ok := c.runEnds[fmt.Sprint(id, r.Attempt)]; r.Active() && ok && !c.y.now.Before(end) {
 			c.y.fold(record.Record{Progress: &record.Progress{ID: id, Attempt: r.Attempt, State: record.Done}})
 			continue
 		}
@@ -205,45 +205,44 @@
 	for ; waitingOrRunning < z.workers/3; waitingOrRunning++ {
 		c.submitted++
 		r := submission(z, "", c.submitted, manifest.Batch, 4, "")
-		r.Submit.ID = fmt.Sprintf("long-%08d@", c.submitted) // of a key's life it would be too long
+		r.Submit.ID = fmt.Sprintf("long-%08d@", c.submitted) // longer than a key may be valid
 		c.y.fold(r)
 	}
 	for _, r := range jobs.Place(c.y.s, writer, 1).Records {
 		c.y.fold(r)
-		c.ends[fmt.Sprint(r.Place.ID, r.Place.Attempt)] = c.y.now.Add(length)
+		c.runEnds[fmt.Sprint(r.Place.ID, r.Place.Attempt)] = c.y.now.Add(length)
 	}
 }
 
-// BenchmarkJobMoves plays the same period while jobs of six hours run on some
-// of the workers, and counts those that are stopped for a drain.
+// BenchmarkJobMoves simulates the same period while jobs of six hours run on some of the workers,
+// and counts the runs that are stopped for a drain.
 func BenchmarkJobMoves(b *testing.B) {
 	z := size{workers: 54, pools: 5, teams: 2}
-	var c *cycle
+	var c *maintenanceRun
 	for range b.N {
-		y := newYard(z)
-		c = newCycle(y)
-		c.work = true
-		c.play(z, cyclePlayed, 30*time.Minute)
+		y := newState(z)
+		c = newMaintenanceRun(y)
+		c.longJobs = true
+		c.simulate(z, simulatedTime, 30*time.Minute)
 	}
 	c.report(b)
 	b.ReportMetric(float64(c.jobMoves), "job-moves")
 	b.ReportMetric(float64(c.submitted), "jobs")
 }
 
-// BenchmarkBuffer plays the same period for pools that hold no more than their
-// budget asks for, one instance for the loss of a rack, and some shared spare
-// workers: how few of those the fleet can do with, where a spare worker in each
-// pool would take as many as there are pools. In racks of one, one instance is
-// rebooted at a time.
+// BenchmarkBuffer simulates the same period for pools that have no more than their budget requires,
+// one instance for the loss of a rack, and some shared spare workers. It shows how few of those the
+// fleet needs; a spare worker in each pool would take as many as there are pools. In racks of one,
+// one instance is rebooted at a time.
 func BenchmarkBuffer(b *testing.B) {
 	for _, pools := range []int{5, 16} {
 		for _, spare := range []int{1, 2, 4} {
 			for _, perRack := range []int{4, 1} {
 				b.Run(fmt.Sprintf("pools=%d/spare=%d/rack=%d", pools, spare, perRack), func(b *testing.B) {
-					var last *cycle
+					var last *maintenanceRun
 					for range b.N {
 						z := size{workers: pools*10 + spare, pools: pools, teams: 2}
-						last = maintainYard(tightYard(z, perRack), z, cyclePlayed, 30*time.Minute)
+						last = simulateMaintenanceOf(newTightState(z, perRack), z, simulatedTime, 30*time.Minute)
 					}
 					last.report(b)
 				})
@@ -252,10 +251,9 @@
 	}
 }
 
-// tightYard returns a yard whose pools of ten keep nine through the loss of a
-// rack.
-func tightYard(z size, perRack int) *yard {
-	y := &yard{now: start}
+// newTightState returns a state with pools of ten instances that keep nine if a rack is lost.
+func newTightState(z size, perRack int) *stateBuilder {
+	y := &stateBuilder{now: start}
 	y.fold(record.Record{Join: &record.Join{Address: "127.0.0.1:1", DataCenter: "hall-0"}})
 	workers := fleetOf(z.workers)
 	for n := range workers {
--- a/benchmarks/overload_test.go
+++ b/benchmarks/overload_test.go
@@ -16,7 +16,7 @@
 	"github.com/yardbridge/yardbridge/standin"
 )
 
-// openLoop is load that does not wait for answers.
+// openLoop is load that does not wait for responses.
 type openLoop struct {
 	c        *cluster
 	path     string
@@ -24,21 +24,21 @@
 	batch    int           // every n-th request is of the batch class, 0 for none
 
 	sent, good, refused, other atomic.Int64
-	steady                     atomic.Int64 // good answers in the window without ramp and tail
-	begun                      time.Time
+	goodInWindow               atomic.Int64 // successful responses in the window without ramp and tail
+	startedAt                  time.Time
 	mu                         sync.Mutex
 	interactive                *hdrhistogram.Histogram // microseconds
 }
 
-// run sends for a while and waits for the answers.
+// run sends requests for a time and waits for the responses.
 func (o *openLoop) run(d time.Duration) {
 	o.interactive = hdrhistogram.New(1, 60_000_000, 3)
 	var group sync.WaitGroup
-	begun := time.Now()
-	o.begun = begun
+	startedAt := time.Now()
+	o.startedAt = startedAt
 	for n := 0; ; n++ {
-		due := begun.Add(time.Duration(n) * o.interval)
-		if due.Sub(begun) >= d {
+		due := startedAt.Add(time.Duration(n) * o.interval)
+		if due.Sub(startedAt) >= d {
 			break
 		}
 		if wait := time.Until(due); wait > 0 {
@@ -47,13 +47,13 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			o.one(n)
+			o.sendOne(n)
 		}()
 	}
 	group.Wait()
 }
 
-func (o *openLoop) one(n int) {
+func (o *openLoop) sendOne(n int) {
 	r, err := http.NewRequest(http.MethodGet, o.c.url(n, o.path), nil)
 	if err != nil {
 		return
@@ -64,24 +64,24 @@
 	}
 	o.sent.Add(1)
 	at := time.Now()
-	answer, err := o.c.client.Do(r)
+	response, err := o.c.client.Do(r)
 	if err != nil {
 		o.other.Add(1)
 		return
 	}
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	switch {
-	case answer.StatusCode == http.StatusOK:
+	case response.StatusCode == http.StatusOK:
 		o.good.Add(1)
-		if since := time.Since(o.begun); since > loadRamp && since <= loadTime {
-			o.steady.Add(1)
+		if since := time.Since(o.startedAt); since > loadRamp && since <= loadTime {
+			o.goodInWindow.Add(1)
 		}
 		if !isBatch {
 			o.mu.Lock()
 			_ = o.interactive.RecordValue(max(time.Since(at).Microseconds(), 1))
 			o.mu.Unlock()
 		}
-	case answer.Header.Get("Yardbridge-Outcome") == "not-run":
+	case response.Header.Get("Yardbridge-Outcome") == "not-run":
 		o.refused.Add(1)
 	default:
 		o.other.Add(1)
@@ -96,10 +96,9 @@
 	loadRamp    = time.Second
 )
 
-// BenchmarkOverload offers a pool half to four times what its slots can do,
-// a tenth of it of the batch class. goodput-share counts the answers in time
-// against what the slots could have done, from one second after the load's
-// begin to its end.
+// BenchmarkOverload offers a pool from half to four times the load that its slots can serve, a
+// tenth of it of the batch class. goodput-share is the ratio of the responses in time to the
+// capacity of the slots, from one second after the start of the load to its end.
 func BenchmarkOverload(b *testing.B) {
 	for _, entries := range []int{1, 9} {
 		for _, load := range []float64{0.5, 1, 2, 4} {
@@ -113,7 +112,7 @@
 					o := openLoop{c: c, path: "/s/svc/x?work=100ms", interval: perSecond(loadSlots, loadWork, load), batch: 10}
 					o.run(loadTime)
 					capacity := (loadTime - loadRamp).Seconds() / loadWork.Seconds() * loadSlots
-					share += float64(o.steady.Load()) / capacity
+					share += float64(o.goodInWindow.Load()) / capacity
 					refused += float64(o.refused.Load()) / float64(o.sent.Load())
 					p99 += float64(o.interactive.ValueAtQuantile(99)) / 1000
 				}
@@ -127,23 +126,22 @@
 	}
 }
 
-// perSecond returns the interval of requests that is a multiple of what slots
-// can do.
+// perSecond returns the interval of requests for a multiple of the capacity of the slots.
 func perSecond(slots int, work time.Duration, load float64) time.Duration {
 	return time.Duration(float64(work) / float64(slots) / load)
 }
 
-// BenchmarkRetryStorm has a third of the targets fail for a while at half the
-// load that all could take.
+// BenchmarkRetryStorm makes a third of the targets fail for a time, at 0.3 times the load that all
+// could serve.
 func BenchmarkRetryStorm(b *testing.B) {
 	c := newCluster(b, 3, 9, time.Second, 64)
 	sends, recovered := 0.0, 0.0
 	for range b.N {
 		failing := failSome(c, 3)
-		before := c.counted()
+		before := c.counts()
 		o := openLoop{c: c, path: "/s/svc/x?work=20ms", interval: perSecond(72, 20*time.Millisecond, 0.3)}
 		o.run(3 * time.Second)
-		after := c.counted()
+		after := c.counts()
 		sends += float64(after.sends-before.sends) / float64(after.requests-before.requests)
 		for _, t := range failing {
 			t.SetFaults(standin.TargetFaults{})
@@ -165,11 +163,11 @@
 	return failing
 }
 
-// counts sums what the entries have counted.
-type counts struct{ requests, sends int64 }
+// requestCounts sums the counters of the entries.
+type requestCounts struct{ requests, sends int64 }
 
-func (c *cluster) counted() counts {
-	var sum counts
+func (c *cluster) counts() requestCounts {
+	var sum requestCounts
 	for _, d := range c.daemons {
 		sum.requests += d.Entry.Metrics.Requests.Count()
 		sum.sends += d.Entry.Metrics.Sends.Count()
@@ -177,19 +175,19 @@
 	return sum
 }
 
-// recovery returns the seconds until every answer in a tenth of a second is
-// good again and no target is set aside.
+// recovery returns the seconds until every response within a tenth of a second is successful again
+// and no target is ejected.
 func (c *cluster) recovery() float64 {
-	begun := time.Now()
+	startedAt := time.Now()
 	for {
 		o := openLoop{c: c, path: "/s/svc/x?work=20ms", interval: perSecond(72, 20*time.Millisecond, 0.5)}
 		o.run(100 * time.Millisecond)
-		aside := 0
+		ejected := 0
 		for _, d := range c.daemons {
-			aside += len(d.Entry.Outliers.Ejected())
+			ejected += len(d.Entry.Outliers.Ejected())
 		}
-		if o.good.Load() == o.sent.Load() && aside == 0 || time.Since(begun) > time.Minute {
-			return time.Since(begun).Seconds()
+		if o.good.Load() == o.sent.Load() && ejected == 0 || time.Since(startedAt) > time.Minute {
+			return time.Since(startedAt).Seconds()
 		}
 	}
 }
--- a/benchmarks/place_test.go
+++ b/benchmarks/place_test.go
@@ -22,24 +22,24 @@
 	"github.com/yardbridge/yardbridge/standin"
 )
 
-// BenchmarkPlace measures placements a second with many runs waiting, and what
-// a change costs while every worker is full and the rest waits.
+// BenchmarkPlace measures placements per second with many waiting runs, and the cost of a change
+// while every worker is full and the other runs wait.
 func BenchmarkPlace(b *testing.B) {
-	for _, z := range []size{today, {500, 20, 20, 1000, 0}, {1500, 62, 40, 3000, 0}, design} {
+	for _, z := range []size{currentSize, {500, 20, 20, 1000, 0}, {1500, 62, 40, 3000, 0}, designSize} {
 		b.Run(z.String(), func(b *testing.B) {
 			var took, changed time.Duration
 			placed, changes := 0, 0
 			for range b.N {
-				y := newYard(z)
+				y := newState(z)
 				y.plan()
 				y.submit(z, z.runs, manifest.Batch)
-				begun := time.Now()
+				startedAt := time.Now()
 				p := jobs.Place(y.s, writer, 1)
-				took += time.Since(begun)
+				took += time.Since(startedAt)
 				placed += len(p.Records)
 				y.foldAll(p.Records)
-				y.fill(z)
-				n, d := y.churn()
+				y.fillWorkers(z)
+				n, d := y.endRuns()
 				changes, changed = changes+n, changed+d
 			}
 			b.ReportMetric(float64(placed)/took.Seconds(), "decisions/s")
@@ -49,15 +49,15 @@
 	}
 }
 
-func (y *yard) foldAll(records []record.Record) {
+func (y *stateBuilder) foldAll(records []record.Record) {
 	for from := 0; from < len(records); from += 400 {
 		y.fold(records[from:min(from+400, len(records))]...)
 	}
 }
 
-// fill makes as many runs wait as the size says, for none of which there is
-// room: each needs a whole worker.
-func (y *yard) fill(z size) {
+// fillWorkers adds as many waiting runs as the size states, for none of which there is free
+// capacity, since each needs a whole worker.
+func (y *stateBuilder) fillWorkers(z size) {
 	var records []record.Record
 	for n := range z.runs {
 		records = append(records, record.Record{Submit: &record.Submit{
@@ -72,9 +72,8 @@
 	y.foldAll(jobs.Place(y.s, writer, 1).Records)
 }
 
-// churn ends running work, one run after another, and returns how long the
-// plans took that this led to.
-func (y *yard) churn() (changes int, took time.Duration) {
+// endRuns ends running runs one after another, and returns the time of the plans that follow.
+func (y *stateBuilder) endRuns() (changes int, took time.Duration) {
 	var placer jobs.Placer
 	y.foldAll(placer.Place(y.s, writer, 1).Records)
 	placer.Place(y.s, writer, 1)
@@ -83,29 +82,28 @@
 			continue
 		}
 		y.fold(record.Record{Progress: &record.Progress{ID: id, Attempt: r.Attempt, State: record.Done}})
-		begun := time.Now()
+		startedAt := time.Now()
 		p := placer.Place(y.s, writer, 1)
-		took += time.Since(begun)
+		took += time.Since(startedAt)
 		changes++
 		y.foldAll(p.Records)
 	}
 	return changes, took
 }
 
-// workshop is a fleet that runs tasks, and one decider, on a clock that the
-// benchmark moves.
-type workshop struct {
-	*yard
+// jobCluster is a fleet that runs tasks, with one decider, on a clock that the benchmark advances.
+type jobCluster struct {
+	*stateBuilder
 	clock    *clock.Fake
 	platform *standin.Platform
 	decider  *jobs.Decider
 }
 
-// tick is a step of a workshop's clock.
+// tick is a step of a jobCluster's clock.
 const tick = 200 * time.Millisecond
 
-func newWorkshop(z size) *workshop {
-	w := &workshop{yard: newYard(z), clock: clock.NewFake(start)}
+func newJobCluster(z size) *jobCluster {
+	w := &jobCluster{stateBuilder: newState(z), clock: clock.NewFake(start)}
 	w.platform = &standin.Platform{Clock: w.clock.Clock()}
 	for _, m := range fleetOf(z.workers) {
 		w.platform.SetWorker(m)
@@ -121,8 +119,8 @@
 	return w
 }
 
-// step lets time pass and the decider act.
-func (w *workshop) step() {
+// step advances the clock and runs the decider.
+func (w *jobCluster) step() {
 	w.clock.Advance(tick)
 	w.now = w.clock.Now()
 	w.fold(record.Record{Lease: &record.Lease{Role: record.RoleJobs, TTL: time.Minute}})
@@ -130,8 +128,8 @@
 	w.decider.AwaitStarts()
 }
 
-// BenchmarkUrgent measures, by a clock of its own, how long urgent work waits
-// for its start while batch work that may be repeated fills every worker.
+// BenchmarkUrgent measures, on a simulated clock, how long urgent runs wait for their start while
+// repeatable batch runs fill every worker.
 func BenchmarkUrgent(b *testing.B) {
 	for _, z := range []size{{50, 5, 2, 0, 0}, {400, 16, 10, 0, 0}} {
 		b.Run(z.String(), func(b *testing.B) {
@@ -147,11 +145,10 @@
 	}
 }
 
-// urgentWaits plays 200 s in which urgent runs of three seconds come in, one for
-// each worker in 100 s or so, and returns the seconds that each waited for its
-// start.
+// urgentWaits simulates 200 s in which urgent runs of three seconds are submitted, about one for
+// each worker in 100 s, and returns the seconds that each waited for its start.
 func urgentWaits(z size) []float64 {
-	w := newWorkshop(z)
+	w := newJobCluster(z)
 	random := rand.New(rand.NewPCG(7, 8))
 	for n := range z.workers {
 		w.fold(submission(z, fmt.Sprintf("batch-%08d", n), n, manifest.Batch, 16, "forever"))
@@ -191,17 +188,16 @@
 	}}
 }
 
-// BenchmarkSizes compares placement by learned sizes with placement by declared
-// ones, which are wrong by up to four times either way: used-share is the part
-// of the processors that does work, crowded-share the part of the workers on
-// which tasks want more than there is.
+// BenchmarkSizes compares placement by measured sizes with placement by declared ones, which are
+// wrong by up to four times in either direction: used-share is the part of the processors in use,
+// crowded-share the part of the workers on which tasks want more than there is.
 func BenchmarkSizes(b *testing.B) {
 	z := size{50, 5, 2, 0, 0}
 	for _, by := range []string{"learned", "declared"} {
 		b.Run("by="+by, func(b *testing.B) {
 			var used, crowded float64
 			for range b.N {
-				u, c := wrongSizes(z, by == "learned")
+				u, c := simulateSizes(z, by == "learned")
 				used, crowded = used+u, crowded+c
 			}
 			b.ReportMetric(used/float64(b.N), "used-share")
@@ -210,32 +206,32 @@
 	}
 }
 
-// wrongSizes plays three minutes in which more work waits than fits.
-func wrongSizes(z size, learn bool) (used, crowded float64) {
-	w := newWorkshop(z)
+// simulateSizes simulates three minutes in which more runs wait than fit.
+func simulateSizes(z size, learn bool) (used, crowded float64) {
+	w := newJobCluster(z)
 	if !learn {
 		tasks := w.decider.Tasks
 		read := tasks.Reports
 		tasks.Reports = func(ctx context.Context, known uint64) (platform.Reports, error) {
 			reports, err := read(ctx, known)
 			for n := range reports.Tasks {
-				reports.Tasks[n].Cores = 0 // nothing is said of their size
+				reports.Tasks[n].Cores = 0 // without a report of their size
 			}
 			return reports, err
 		}
 		w.decider.Tasks = tasks
 	}
 	random := rand.New(rand.NewPCG(9, 10))
-	truth := make([]int, 40)
-	for n := range truth {
-		truth[n] = 1 + random.IntN(8)
+	trueSize := make([]int, 40)
+	for n := range trueSize {
+		trueSize[n] = 1 + random.IntN(8)
 	}
 	steps := 0
 	for at := range 900 {
 		for n := range 4 {
-			job := random.IntN(len(truth))
-			declared := wrong(random, truth[job])
-			command := fmt.Sprintf("sleep 10s use %d", truth[job])
+			job := random.IntN(len(trueSize))
+			declared := wrongSize(random, trueSize[job])
+			command := fmt.Sprintf("sleep 10s use %d", trueSize[job])
 			w.fold(submission(z, fmt.Sprintf("run-%04d-%d", at, n), job, manifest.Batch, declared, command))
 		}
 		w.step()
@@ -247,15 +243,15 @@
 	return used / float64(steps), crowded / float64(steps)
 }
 
-// wrong returns a size that is off by up to four times either way.
-func wrong(random *rand.Rand, truth int) int {
+// wrongSize returns a size that is wrong by up to four times in either direction.
+func wrongSize(random *rand.Rand, trueSize int) int {
 	factor := []float64{0.25, 0.5, 1, 2, 4}[random.IntN(5)]
-	return min(max(int(float64(truth)*factor), 1), 16)
+	return min(max(int(float64(trueSize)*factor), 1), 16)
 }
 
-// usage returns the part of the pools' processors in use, and the part of their
-// workers on which tasks want more processors than there are.
-func (w *workshop) usage() (used, crowded float64) {
+// usage returns the part of the pools' processors in use, and the part of their workers on which
+// tasks want more processors than there are.
+func (w *jobCluster) usage() (used, crowded float64) {
 	wanted := w.platform.WantedCores()
 	cores, workers := 0, 0
 	for id, i := range w.s.Instances.All() {
--- a/benchmarks/promises_test.go
+++ b/benchmarks/promises_test.go
@@ -18,8 +18,8 @@
 	"github.com/yardbridge/yardbridge/standin"
 )
 
-// BenchmarkLeaving measures from a target's first sign of leaving to the last
-// new request that any entry sends it.
+// BenchmarkLeaving measures the time from a target's first sign of leaving to the last new request
+// that any entry sends it.
 func BenchmarkLeaving(b *testing.B) {
 	for _, way := range []string{"plain", "lag=1s", "cut-off"} {
 		b.Run(way, func(b *testing.B) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// busyWorker returns a worker that is in use, or a trial would say nothing.
+// busyWorker returns a worker in use, since the measurement is meaningless for another one.
 func (c *cluster) busyWorker() string {
 	for {
 		for worker, t := range c.platform.Server.Targets {
@@ -68,8 +68,7 @@
 	}
 }
 
-// leave makes a worker leave and come back, and returns the seconds until its
-// last new request.
+// leave makes a worker leave and return, and returns the seconds until its last new request.
 func (c *cluster) leave(b *testing.B, worker string) float64 {
 	b.Helper()
 	set := func(condition fleet.Condition) {
@@ -83,13 +82,13 @@
 	time.Sleep(3 * time.Second)
 	last := target.Stats().LastStart
 	set(fleet.Live)
-	// Random, or the trials would keep step with the readings of the list.
+	// The pause is random, so that the trials do not synchronize with the reads of the list.
 	time.Sleep(time.Second + rand.N(time.Second))
 	return max(last.Sub(at).Seconds(), 0)
 }
 
-// BenchmarkOnce measures keyed requests: what the claim adds at low load, and
-// how many keys a second the log's 100 appends carry.
+// BenchmarkOnce measures keyed requests: the time that the claim adds at low load, and the number
+// of keys per second that the log's 100 appends allow.
 func BenchmarkOnce(b *testing.B) {
 	c := newCluster(b, 9, 50, 5*time.Second, 10000)
 	for b.Loop() {
@@ -116,15 +115,15 @@
 	if key != "" {
 		r.Header.Set("Idempotency-Key", key)
 	}
-	answer, err := c.client.Do(r)
+	response, err := c.client.Do(r)
 	if err != nil {
 		return 0, err
 	}
-	defer answer.Body.Close()
-	return answer.StatusCode, nil
+	defer response.Body.Close()
+	return response.StatusCode, nil
 }
 
-// latency returns the median in milliseconds of requests one at a time.
+// latency returns the median latency in milliseconds of requests that are sent one at a time.
 func (c *cluster) latency(b *testing.B, keyed bool) float64 {
 	b.Helper()
 	var all []float64
@@ -149,12 +148,12 @@
 	const clients, span = 1800, 5 * time.Second
 	var good atomic.Int64
 	var group sync.WaitGroup
-	begun := time.Now()
+	startedAt := time.Now()
 	for n := range clients {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			for time.Since(begun) < span {
+			for time.Since(startedAt) < span {
 				if status, err := c.post(n, oncekey.New(time.Now().Add(10*time.Minute))); err == nil && status == http.StatusOK {
 					good.Add(1)
 				}
@@ -162,5 +161,5 @@
 		}()
 	}
 	group.Wait()
-	return float64(good.Load()) / time.Since(begun).Seconds()
+	return float64(good.Load()) / time.Since(startedAt).Seconds()
 }
--- a/benchmarks/request_test.go
+++ b/benchmarks/request_test.go
@@ -16,7 +16,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// forwarder is the baseline: it passes requests on and promises nothing.
+// forwarder is the baseline: it forwards requests without any guarantees.
 type forwarder struct {
 	transport http.Transport
 	targets   []string
@@ -29,17 +29,17 @@
 	out := r.Clone(r.Context())
 	out.URL = &url.URL{Scheme: "http", Host: target, Path: r.URL.Path, RawQuery: r.URL.RawQuery}
 	out.RequestURI = ""
-	answer, err := f.transport.RoundTrip(out)
+	response, err := f.transport.RoundTrip(out)
 	if err != nil {
 		w.WriteHeader(http.StatusBadGateway)
 		return
 	}
-	defer answer.Body.Close()
-	for k, v := range answer.Header {
+	defer response.Body.Close()
+	for k, v := range response.Header {
 		w.Header()[k] = v
 	}
-	w.WriteHeader(answer.StatusCode)
-	_, _ = io.Copy(w, answer.Body)
+	w.WriteHeader(response.StatusCode)
+	_, _ = io.Copy(w, response.Body)
 }
 
 func serveForwarder(b *testing.B, targets []string) string {
@@ -56,15 +56,15 @@
 	return "http://" + l.Addr().String()
 }
 
-// closedLoop sends requests with some clients, as fast as answers come, and
-// returns the latencies in microseconds and the answers a second.
+// closedLoop sends requests with several clients, each after the previous response, and returns the
+// latencies in microseconds and the responses per second.
 func closedLoop(b *testing.B, client *http.Client, clients, requests int, target func(n int) string) (*hdrhistogram.Histogram, float64) {
 	b.Helper()
 	var next, failed atomic.Int64
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	all := hdrhistogram.New(1, 60_000_000, 3)
-	begun := time.Now()
+	startedAt := time.Now()
 	for range clients {
 		group.Add(1)
 		go func() {
@@ -91,11 +91,11 @@
 	if n := failed.Load(); n > int64(requests)/100 {
 		b.Fatalf("%d of %d requests failed", n, requests)
 	}
-	return all, float64(requests) / time.Since(begun).Seconds()
+	return all, float64(requests) / time.Since(startedAt).Seconds()
 }
 
-// BenchmarkRequest compares a request through an entry with a direct one, and
-// with the bare forwarder, in turn in the same run.
+// BenchmarkRequest compares a request through an entry with a direct one, and with the forwarder,
+// in turn in the same run.
 func BenchmarkRequest(b *testing.B) {
 	const clients, targets, requests, rounds = 32, 10, 8000, 5
 	c := newCluster(b, 1, targets, 5*time.Second, 10000)
--- a/benchmarks/rollout_test.go
+++ b/benchmarks/rollout_test.go
@@ -17,22 +17,21 @@
 	"github.com/yardbridge/yardbridge/services/rollout"
 )
 
-// rolls is a series of roll-outs and what the log alone would have taken.
-type rolls struct {
+// rollouts is a series of rollouts and the time that the log alone would have taken.
+type rollouts struct {
 	c     *cluster
 	mu    sync.Mutex
 	took  []float64 // milliseconds
 	limit []float64 // milliseconds
 }
 
-// BenchmarkRollout measures from the operator's send to in force on every
-// entry, against one append and one delivery of the stand-in's log: one change
-// after another, and twenty at once through all entries during a rush of
-// requests that uses every slot.
+// BenchmarkRollout measures the time from the operator's request until the change is in force on
+// every entry, compared with one append and one delivery of the stand-in's log: one change after
+// another, and twenty at once through all entries during a surge of requests that uses every slot.
 func BenchmarkRollout(b *testing.B) {
 	for _, entries := range []int{9, 60} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
-			r := &rolls{c: newCluster(b, entries, 12, 2*time.Second, 64)}
+			r := &rollouts{c: newCluster(b, entries, 12, 2*time.Second, 64)}
 			watch := r.c.watchVersions()
 			for n := range max(b.N, 40) {
 				r.change(b, 0, fmt.Sprintf("roll-%d", n))
@@ -43,26 +42,26 @@
 		})
 	}
 	b.Run("entries=9/rush", func(b *testing.B) {
-		r := &rolls{c: newCluster(b, 9, 12, 2*time.Second, 64)}
+		r := &rollouts{c: newCluster(b, 9, 12, 2*time.Second, 64)}
 		watch := r.c.watchVersions()
 		o := openLoop{c: r.c, path: "/s/svc/x?work=100ms", interval: perSecond(12*8, loadWork, 1)}
-		rush := make(chan struct{})
+		surge := make(chan struct{})
 		go func() {
-			defer close(rush)
+			defer close(surge)
 			o.run(loadTime)
 		}()
 		for round := range 10 {
-			r.atOnce(b, round)
+			r.applyConcurrently(b, round)
 			r.limit = append(r.limit, r.c.logLimit(b))
 			time.Sleep(200 * time.Millisecond)
 		}
-		<-rush
+		<-surge
 		r.report(b, watch)
 	})
 }
 
-// atOnce applies twenty files of as many operators at once.
-func (r *rolls) atOnce(b *testing.B, round int) {
+// applyConcurrently applies twenty files of as many operators at once.
+func (r *rollouts) applyConcurrently(b *testing.B, round int) {
 	var group sync.WaitGroup
 	for n := range 20 {
 		group.Add(1)
@@ -74,13 +73,13 @@
 	group.Wait()
 }
 
-// change applies a file of its own through an entry and notes the time.
-func (r *rolls) change(b *testing.B, entry int, name string) {
+// change applies a file of its own through an entry and records the time.
+func (r *rollouts) change(b *testing.B, entry int, name string) {
 	file := manifest.File{Deployment: name, Teams: []manifest.Team{{Name: name}}}
 	d := r.c.daemons[entry%len(r.c.daemons)]
-	begun := time.Now()
+	startedAt := time.Now()
 	result, err := d.Entry.Rollout.Apply(context.Background(), rollout.Request{File: file, AllowShortage: true})
-	took := float64(time.Since(begun).Microseconds()) / 1000
+	took := float64(time.Since(startedAt).Microseconds()) / 1000
 	if err != nil || !result.InForce {
 		b.Errorf("%s: %v, lagging: %v", name, err, result.Lagging)
 	}
@@ -89,7 +88,7 @@
 	r.took = append(r.took, took)
 }
 
-func (r *rolls) report(b *testing.B, watch *versionWatch) {
+func (r *rollouts) report(b *testing.B, watch *versionMonitor) {
 	slices.Sort(r.took)
 	slices.Sort(r.limit)
 	p := func(of []float64, q int) float64 { return of[(len(of)-1)*q/100] }
@@ -100,21 +99,21 @@
 	b.ReportMetric(float64(watch.stop()), "reverts")
 }
 
-// versionWatch looks at the version that each entry shows, all the time.
-type versionWatch struct {
+// versionMonitor continuously reads the version that each entry shows.
+type versionMonitor struct {
 	c       *cluster
 	quit    chan struct{}
 	reverts chan int
 }
 
-func (c *cluster) watchVersions() *versionWatch {
-	w := &versionWatch{c: c, quit: make(chan struct{}), reverts: make(chan int)}
+func (c *cluster) watchVersions() *versionMonitor {
+	w := &versionMonitor{c: c, quit: make(chan struct{}), reverts: make(chan int)}
 	go w.run()
 	return w
 }
 
-// run counts the entries that show an older version than before.
-func (w *versionWatch) run() {
+// run counts how often an entry shows an older version than before.
+func (w *versionMonitor) run() {
 	seen := make([]uint64, len(w.c.daemons))
 	reverts := 0
 	for {
@@ -134,17 +133,17 @@
 	}
 }
 
-func (w *versionWatch) stop() int {
+func (w *versionMonitor) stop() int {
 	close(w.quit)
 	return <-w.reverts
 }
 
-// appendAgain is the pause after an append that the log refused, since the
-// entries have used up what it takes.
-const appendAgain = 50 * time.Millisecond
+// appendRetryPause is the pause after an append that the log refused because the entries have used
+// up its rate limit.
+const appendRetryPause = 50 * time.Millisecond
 
-// logLimit returns the milliseconds of one append and its delivery to one
-// waiting reader, over the same HTTP as the entries use.
+// logLimit returns the milliseconds of one append and its delivery to one waiting reader, over the
+// same HTTP interface as the entries use.
 func (c *cluster) logLimit(b *testing.B) float64 {
 	b.Helper()
 	client := c.platformClient()
@@ -173,7 +172,7 @@
 		if !errkind.Is(err, errkind.Overloaded) {
 			b.Fatal(err)
 		}
-		time.Sleep(appendAgain)
+		time.Sleep(appendRetryPause)
 		at = time.Now()
 	}
 	if err := <-read; err != nil {
--- a/benchmarks/state_test.go
+++ b/benchmarks/state_test.go
@@ -15,8 +15,8 @@
 	"github.com/yardbridge/yardbridge/models/state"
 )
 
-// yard is a state that grows by records, without a log.
-type yard struct {
+// stateBuilder is a state that grows by records, without a log.
+type stateBuilder struct {
 	s   state.State
 	now time.Time
 	seq uint64
@@ -27,7 +27,7 @@
 const writer = "e000"
 
 // fold folds one batch of records.
-func (y *yard) fold(records ...record.Record) state.Folded {
+func (y *stateBuilder) fold(records ...record.Record) state.Folded {
 	y.seq++
 	data, err := record.Batch{Schema: record.Schema, Writer: writer, Incarnation: 1, Sequence: y.seq, Records: records}.Encode()
 	if err != nil {
@@ -48,14 +48,14 @@
 }
 
 var (
-	today  = size{workers: 50, pools: 5, teams: 2, runs: 20, keys: 1000}
-	design = size{workers: 3000, pools: 124, teams: 85, runs: 6000, keys: 20000}
+	currentSize = size{workers: 50, pools: 5, teams: 2, runs: 20, keys: 1000}
+	designSize  = size{workers: 3000, pools: 124, teams: 85, runs: 6000, keys: 20000}
 )
 
-// newYard returns a state of a size, whose workers are not placed yet. Each
-// pool asks for its part of nine tenths of the workers.
-func newYard(z size) *yard {
-	y := &yard{now: start}
+// newState returns a state of a size whose workers are not in pools yet. Each pool declares its
+// part of nine tenths of the workers.
+func newState(z size) *stateBuilder {
+	y := &stateBuilder{now: start}
 	y.fold(record.Record{Join: &record.Join{Address: "127.0.0.1:1", DataCenter: "hall-0"}})
 	workers := fleetOf(z.workers)
 	for from := 0; from < len(workers); from += 500 {
@@ -86,7 +86,7 @@
 }
 
 // submit adds pending runs, spread over teams and pools.
-func (y *yard) submit(z size, runs int, class manifest.Class) {
+func (y *stateBuilder) submit(z size, runs int, class manifest.Class) {
 	for from := 0; from < runs; from += 400 {
 		var records []record.Record
 		for n := from; n < min(from+400, runs); n++ {
@@ -102,7 +102,7 @@
 	}
 }
 
-func (y *yard) claim(from, keys int) {
+func (y *stateBuilder) claim(from, keys int) {
 	for ; keys > 0; keys -= 400 {
 		var records []record.Record
 		for range min(keys, 400) {
@@ -115,7 +115,7 @@
 	}
 }
 
-// heap returns the bytes that are in use.
+// heap returns the bytes in use.
 func heap() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -128,18 +128,18 @@
 func BenchmarkFold(b *testing.B) {
 	for _, keys := range []int{1000, 5000, 20000, 80000} {
 		b.Run(fmt.Sprintf("record=claim/keys=%d", keys), func(b *testing.B) {
-			y := newYard(today)
+			y := newState(currentSize)
 			y.claim(0, keys)
-			begun := time.Now()
+			startedAt := time.Now()
 			const records = 20000
 			y.claim(1<<30, records)
-			b.ReportMetric(float64(time.Since(begun).Nanoseconds())/records, "ns/record")
+			b.ReportMetric(float64(time.Since(startedAt).Nanoseconds())/records, "ns/record")
 		})
 	}
 	for _, workers := range []int{50, 500, 1500, 3000} {
 		b.Run(fmt.Sprintf("record=sighting/workers=%d", workers), func(b *testing.B) {
-			y := newYard(size{workers: workers, pools: 5, teams: 2})
-			begun := time.Now()
+			y := newState(size{workers: workers, pools: 5, teams: 2})
+			startedAt := time.Now()
 			const records = 2000
 			for n := range records {
 				i, _ := y.s.Instances.Get(fmt.Sprintf("w%04d", n%workers))
@@ -147,32 +147,32 @@
 				w.BootCount++
 				y.fold(record.Record{ListUpdate: &record.ListUpdate{Revision: y.s.ListRevision + 1, Workers: []fleet.Worker{w}}})
 			}
-			b.ReportMetric(float64(time.Since(begun).Nanoseconds())/records, "ns/record")
+			b.ReportMetric(float64(time.Since(startedAt).Nanoseconds())/records, "ns/record")
 		})
 	}
 }
 
-// BenchmarkSnapshot measures the bytes of state for each thing that is kept,
-// in memory and on the log, and the time from nothing to ready.
+// BenchmarkSnapshot measures the bytes of state for each stored item, in memory and on the log, and
+// the time to decode a snapshot.
 func BenchmarkSnapshot(b *testing.B) {
 	things := []struct {
 		name string
-		add  func(y *yard, n int)
+		add  func(y *stateBuilder, n int)
 		at   []int
 	}{
 		{"worker", nil, []int{500, 1000, 2000, 3000}},
-		{"run", func(y *yard, n int) { y.submit(today, n, manifest.Batch) }, []int{1000, 2000, 4000, 8000}},
-		{"key", func(y *yard, n int) { y.claim(0, n) }, []int{5000, 10000, 20000, 40000}},
+		{"run", func(y *stateBuilder, n int) { y.submit(currentSize, n, manifest.Batch) }, []int{1000, 2000, 4000, 8000}},
+		{"key", func(y *stateBuilder, n int) { y.claim(0, n) }, []int{5000, 10000, 20000, 40000}},
 	}
 	for _, thing := range things {
 		for _, n := range thing.at {
 			b.Run(fmt.Sprintf("thing=%s/n=%d", thing.name, n), func(b *testing.B) {
 				before := heap()
-				z := today
+				z := currentSize
 				if thing.add == nil {
 					z = size{workers: n, pools: 5, teams: 2}
 				}
-				y := newYard(z)
+				y := newState(z)
 				if thing.add != nil {
 					thing.add(y, n)
 				}
@@ -187,9 +187,9 @@
 			})
 		}
 	}
-	for _, z := range []size{today, design} {
+	for _, z := range []size{currentSize, designSize} {
 		b.Run("start/"+z.String(), func(b *testing.B) {
-			y := newYard(z)
+			y := newState(z)
 			y.submit(z, z.runs, manifest.Batch)
 			y.claim(0, z.keys)
 			data, err := y.s.Encode()
