--- a/tools/capacity/figures.go
+++ b/tools/capacity/figures.go
@@ -15,19 +15,19 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// figures holds what was measured, in the order of the files.
-type figures struct {
+// measurements holds the measured results, in the order of the files.
+type measurements struct {
 	results []result
 }
 
 // result is one run of one benchmark.
 type result struct {
-	name   string // without Benchmark and the number of processors
+	name   string // without the prefix Benchmark and the number of processors
 	values []benchfmt.Value
 }
 
-func readFigures(files []string) (*figures, error) {
-	f := &figures{}
+func readMeasurements(files []string) (*measurements, error) {
+	f := &measurements{}
 	for _, name := range files {
 		if err := f.read(name); err != nil {
 			return nil, err
@@ -36,7 +36,7 @@
 	return f, nil
 }
 
-func (f *figures) read(name string) error {
+func (f *measurements) read(name string) error {
 	file, err := os.Open(name)
 	if err != nil {
 		return errors.Trace(err)
@@ -46,7 +46,7 @@
 	for reader.Scan() {
 		r, ok := reader.Result().(*benchfmt.Result)
 		if !ok {
-			continue // a line of another kind, or one that can't be read
+			continue // a line of another kind, or one that can't be parsed
 		}
 		full := r.Name.String()
 		if i := strings.LastIndexByte(full, '-'); i > 0 {
@@ -57,7 +57,7 @@
 	return errors.Trace(reader.Err())
 }
 
-// value returns a figure of a result, and false where it was not reported.
+// value returns a value of a result, and false if it was not reported.
 func (r result) value(unit string) (float64, bool) {
 	for _, v := range r.values {
 		if v.Unit == unit {
@@ -70,7 +70,7 @@
 	return 0, false
 }
 
-// spec says which figures make up a slope.
+// spec selects the measurements of a slope.
 type spec struct {
 	id     string
 	title  string
@@ -86,14 +86,14 @@
 	spec
 	xs, ys []float64
 	spread float64 // largest (max-min)/mean of the runs at one size
-	runs   int     // the fewest at one size
+	runs   int     // smallest number of runs at one size
 	a, b   float64 // y = a + b*x
 	r2     float64
 }
 
 func (s slope) at(x float64) float64 { return s.a + s.b*x }
 
-func (f *figures) fit(s spec) (slope, error) {
+func (f *measurements) fit(s spec) (slope, error) {
 	byX := make(map[float64][]float64)
 	for _, r := range f.results {
 		if !strings.HasPrefix(r.name, s.prefix) || !strings.HasSuffix(r.name, s.suffix) {
@@ -129,7 +129,7 @@
 	return fitted, nil
 }
 
-// keyOf returns the number behind key= in a benchmark's name.
+// keyOf returns the number after key= in a benchmark's name.
 func keyOf(name, key string) (float64, bool) {
 	for part := range strings.SplitSeq(name, "/") {
 		if text, ok := strings.CutPrefix(part, key+"="); ok {
@@ -140,12 +140,12 @@
 	return 0, false
 }
 
-// table lists the figures of whole entries, as they were measured.
-func (f *figures) table() string {
+// table lists the measurements of complete entries.
+func (f *measurements) table() string {
 	var b strings.Builder
 	b.WriteString("| benchmark | figures |\n| --- | --- |\n")
 	for _, r := range f.results {
-		if !slices.ContainsFunc(wholeEntries, func(p string) bool { return strings.HasPrefix(r.name, p) }) {
+		if !slices.ContainsFunc(entryBenchmarks, func(p string) bool { return strings.HasPrefix(r.name, p) }) {
 			continue
 		}
 		var parts []string
@@ -164,4 +164,4 @@
 	return b.String()
 }
 
-var wholeEntries = []string{"Request", "Overload", "RetryStorm", "Leaving", "Once", "Rollout", "Maintain", "Buffer", "JobMoves", "Urgent", "Sizes", "Membership"}
+var entryBenchmarks = []string{"Request", "Overload", "RetryStorm", "Leaving", "Once", "Rollout", "Maintain", "Buffer", "JobMoves", "Urgent", "Sizes", "Membership"}
--- a/tools/capacity/main.go
+++ b/tools/capacity/main.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Command capacity works the tables of docs/CAPACITY.md out from the measured
-// figures in docs/measurements, and draws each slope.
+// Command capacity computes the tables of docs/CAPACITY.md from the measurements in
+// docs/measurements, and plots each slope.
 package main
 
 import (
@@ -32,7 +32,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	f, err := readFigures(files)
+	f, err := readMeasurements(files)
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 	})
 }
 
-// fillPage puts each table between its two markers on the page.
+// fillPage writes each table between its two markers on the page.
 func fillPage(tables map[string]string) error {
 	data, err := os.ReadFile(page)
 	if err != nil {
--- a/tools/capacity/tables.go
+++ b/tools/capacity/tables.go
@@ -10,13 +10,13 @@
 	"strings"
 )
 
-// The size to design for, and what the users' plan leaves open. What is
-// assumed is said so on the page.
+// The design size, and assumptions about what the users' plan does not state; the page marks
+// assumed values as such.
 const (
 	designWorkers = 3000
 	designEntries = 60     // assumed: ten in each of six data centres
-	designRuns    = 6000   // assumed: job runs that are remembered at once
-	designKeys    = 20_000 // assumed: keys that are remembered at once
+	designRuns    = 6000   // assumed: job runs stored at once
+	designKeys    = 20_000 // assumed: keys stored at once
 
 	day           = 86400.0
 	changesPerDay = 3200.0
@@ -25,7 +25,7 @@
 	runsPerDay    = 20_000.0 // assumed
 	keysPerSecond = 10.0     // assumed
 
-	wholeReadings   = 1 / 300.0 // of all reports, a second
+	fullReadRate    = 1 / 300.0 // full reads of the reports per second
 	reportRows      = 3.0       // reports of one run: running, its size, its end
 	listChanges     = 4.0       // of the list, for each worker that fails or is replaced
 	drainRecords    = 4.0       // drain, drained, reboot, return
@@ -94,7 +94,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// role is what one duty costs a node at the design size.
+// role is the cost of one role on a node at the design size.
 type role struct {
 	name      string
 	core      float64 // percent
@@ -104,10 +104,10 @@
 	mechanism string
 }
 
-// unmeasured marks what no slope stands for.
+// unmeasured marks values for which there is no slope.
 var unmeasured = math.NaN()
 
-// roles works the duties out from the slopes.
+// roles computes the cost of the roles from the slopes.
 func roles(s map[string]slope) []role {
 	at := func(id string) float64 { return s[id].at(s[id].design) }
 	perSecond := func(perDay float64) float64 { return perDay / day }
@@ -138,7 +138,7 @@
 			"part of the same plan, one rack at a time and more near the end of the period"},
 		{"placement, on the holder", perSecond(runsPerDay*runRecords) * plan("place-change"), 0, 0, 0,
 			"after a change only the pools that it concerns are looked at; every remembered run waits for a whole worker here"},
-		{"reports of the workers, to the holder", unmeasured, 0, at("reports")*wholeReadings + perSecond(runsPerDay*reportRows)*s["reports"].b, 0,
+		{"reports of the workers, to the holder", unmeasured, 0, at("reports")*fullReadRate + perSecond(runsPerDay*reportRows)*s["reports"].b, 0,
 			"what has changed, every second; all, every five minutes, here with every remembered run under way"},
 		{"slots between entries under load", unmeasured, unmeasured, unmeasured, 0,
 			"owners lend, holders keep what they use; messages only where need moves between entries"},
@@ -154,10 +154,10 @@
 	for _, r := range roles(slopes) {
 		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s |\n", r.name,
 			cell(r.core, 3), cell(r.memory, 2), cell(r.bytes, 0), cell(r.appends, 2), fits(r), r.mechanism)
-		sum.core += known(r.core)
-		sum.memory += known(r.memory)
-		sum.bytes += known(r.bytes)
-		sum.appends += known(r.appends)
+		sum.core += valueOrZero(r.core)
+		sum.memory += valueOrZero(r.memory)
+		sum.bytes += valueOrZero(r.bytes)
+		sum.appends += valueOrZero(r.appends)
 	}
 	fmt.Fprintf(&b, "| what is measured, on an entry that holds every role | %s | %s | %s | %s | %s | |\n",
 		cell(sum.core, 3), cell(sum.memory, 2), cell(sum.bytes, 0), cell(sum.appends, 2), fits(sum))
@@ -171,14 +171,14 @@
 	return strconv.FormatFloat(v, 'f', digits, 64)
 }
 
-func known(v float64) float64 {
+func valueOrZero(v float64) float64 {
 	if math.IsNaN(v) {
 		return 0
 	}
 	return v
 }
 
-// fits says which limit a duty breaks.
+// fits returns "yes", or the limits that a role exceeds.
 func fits(r role) string {
 	var over []string
 	if r.core > limitCore {
