--- a/services/gateway/gateway.go
+++ b/services/gateway/gateway.go
@@ -69,7 +69,7 @@
 	retryPause = 50 * time.Millisecond
 	// cancelGrace is how long a call whose context has ended may still return its result, as a call
 	// that was not sent does at once. A node that stops has 0.3 s for its last responses, and a
-	// caller's response needs 50 ms to reach the caller.
+	// caller's response has 50 ms to travel back.
 	cancelGrace = 20 * time.Millisecond
 )
 
@@ -78,7 +78,7 @@
 
 // Submit passes a job to its pool's owner and returns once the job is persisted.
 func (g *Gateway) Submit(ctx context.Context, q *config.Queue, s job.Submission) error {
-	if taken, err := g.acceptedEarlier(ctx, q, s.ID, s.Customer); taken || err != nil {
+	if accepted, err := g.acceptedEarlier(ctx, q, s.ID, s.Customer); accepted || err != nil {
 		return err
 	}
 	_, err := call(ctx, g, q.Pool, func(ctx context.Context, d *PoolHandler) (noResult, error) {
--- a/services/pools/maintain.go
+++ b/services/pools/maintain.go
@@ -87,8 +87,8 @@
 	return racks
 }
 
-// Each of these parts of the period that the oldest due instance has passed doubles the number of
-// racks in maintenance at once.
+// urgentShares are parts of the period. Each of them that the oldest due instance has passed doubles
+// the number of racks in maintenance at once.
 var urgentShares = []float64{0.85, 0.9, 0.95, 1}
 
 // racksAtOnce returns how many racks may be in maintenance: one, and more as the due instances get
--- a/services/slots/acquire.go
+++ b/services/slots/acquire.go
@@ -192,7 +192,7 @@
 		case s := <-w.grant:
 			return s, nil
 		case <-w.shed:
-			return nil, errkind.NewRetry(errkind.Overloaded, w.retryAfter, "dropped, since more requests arrive than pool %s can serve", p.name)
+			return nil, errkind.NewRetry(errkind.Overloaded, w.retryAfter, "the request was dropped, since more requests arrive than pool %s can serve", p.name)
 		case <-avoidUntil:
 			avoidUntil = nil
 			h.stopAvoiding(p, w)
