--- a/benchmarks/control_test.go
+++ b/benchmarks/control_test.go
@@ -116,7 +116,7 @@
 			lost.Kill()
 			c.daemons = c.daemons[:len(c.daemons)-1]
 			at := time.Now()
-			for c.suspected(lost.Entry.Setting.Entry.Name) < len(c.daemons) && time.Since(at) < time.Minute {
+			for c.suspected(lost.Entry.Settings.Entry.Name) < len(c.daemons) && time.Since(at) < time.Minute {
 				time.Sleep(50 * time.Millisecond)
 			}
 			b.ReportMetric(time.Since(at).Seconds(), "detect-s")
--- a/cmd/node.go
+++ b/cmd/node.go
@@ -251,12 +251,12 @@
 		p.logger.Warn().Str("event", "stop").Err(err).Msg("calls of callers were cut off")
 	}
 	<-handedOver
-	asked, endAsked := context.WithTimeout(ctx, probeResponseTime)
-	defer endAsked()
+	probes, endProbes := context.WithTimeout(ctx, probeResponseTime)
+	defer endProbes()
 	// Responses about readiness or metrics that are not immediate are not waited for.
-	_ = p.ready.Shutdown(asked)
+	_ = p.ready.Shutdown(probes)
 	if p.metrics != nil {
-		_ = p.metrics.Shutdown(asked)
+		_ = p.metrics.Shutdown(probes)
 	}
 }
 
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -48,7 +48,7 @@
 	}
 	c.signals.serving(func() { reloadEntry(ctx, d, *path) }, func() { c.writeDump(d) })
 	c.printLine("entry %s serves callers at %s, administration at %s, peers at %s",
-		s.Entry.Name, d.CallerAddress, d.AdminAddress, d.Entry.Setting.Listen.Peers)
+		s.Entry.Name, d.CallerAddress, d.AdminAddress, d.Entry.Settings.Listen.Peers)
 	return c.serveUntil(ctx, d)
 }
 
--- a/cmd/signals_test.go
+++ b/cmd/signals_test.go
@@ -323,9 +323,9 @@
 	assert.NilError(t, err)
 	defer func() { _ = l.Close() }()
 	c := begin(t, "status", "-server", l.Addr().String())
-	asked, err := l.Accept()
+	conn, err := l.Accept()
 	assert.NilError(t, err)
-	defer func() { _ = asked.Close() }()
+	defer func() { _ = conn.Close() }()
 	c.signal(hangups...)
 	c.await(`"signal":"hangup"`)
 	c.signal(syscall.SIGTERM, syscall.SIGHUP)
@@ -333,9 +333,9 @@
 	assert.Assert(t, strings.Contains(c.text(), "stopped by a signal"), c.text())
 }
 
-// TestLogWhoseReaderHasGone checks that a process continues when the reader of its output has
+// TestOutputWhoseReaderHasExited checks that a process continues when the reader of its output has
 // exited.
-func TestLogWhoseReaderHasGone(t *testing.T) {
+func TestOutputWhoseReaderHasExited(t *testing.T) {
 	address := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "fleet.toml")
 	assert.NilError(t, os.WriteFile(path, []byte(fleetText(t)), 0o600))
@@ -369,9 +369,9 @@
 	assert.NilError(t, <-ended)
 }
 
-// TestSignalsAreTakenFirst checks that signals are registered before the larger packages are
+// TestSignalsAreRegisteredFirst checks that signals are registered before the larger packages are
 // initialized, which takes most of a program's first milliseconds.
-func TestSignalsAreTakenFirst(t *testing.T) {
+func TestSignalsAreRegisteredFirst(t *testing.T) {
 	run := exec.Command(os.Args[0])
 	run.Env = append(os.Environ(), envArgs+"=help", "GODEBUG=inittrace=1")
 	var output bytes.Buffer
@@ -406,9 +406,9 @@
 	return c, admin, path, platform
 }
 
-// TestEntryReadsItsSettingsAnew checks that a hang-up makes an entry apply the settings that it
+// TestEntryReloadsItsSettings checks that a hang-up makes an entry apply the settings that it
 // can, report those that need a restart, and keep the known ones if the new ones are invalid.
-func TestEntryReadsItsSettingsAnew(t *testing.T) {
+func TestEntryReloadsItsSettings(t *testing.T) {
 	c, admin, path, platform := serveEntry(t)
 	status := func(secret string) int {
 		r, err := http.NewRequest(http.MethodGet, "http://"+admin+"/api/v1/status", nil)
--- a/cmd/standalone.go
+++ b/cmd/standalone.go
@@ -119,7 +119,7 @@
 func (c console) printStandalone(daemons []*daemon.Daemon, example examples.Example, workers int) {
 	c.printLine("deployment %s runs with %d workers and %d entries:", example.Name, workers, len(daemons))
 	for _, d := range daemons {
-		c.printLine("  %s  callers http://%s  administration %s", d.Entry.Setting.Entry.Name, d.CallerAddress, d.AdminAddress)
+		c.printLine("  %s  callers http://%s  administration %s", d.Entry.Settings.Entry.Name, d.CallerAddress, d.AdminAddress)
 	}
 	c.printLine("")
 	c.printLine("try next, in another terminal:")
--- a/cmd/stop_test.go
+++ b/cmd/stop_test.go
@@ -24,40 +24,40 @@
 	"github.com/yardbridge/yardbridge/cmd"
 )
 
-// crowd is a group of callers of one address that keep using their connections.
-type crowd struct {
+// callerGroup is a group of callers of one address that keep using their connections.
+type callerGroup struct {
 	t       *testing.T
 	address string
 	request string
-	asked   atomic.Int64
+	sent    atomic.Int64
 	tasks   sync.WaitGroup
 }
 
-// crowdSize is the number of callers.
-const crowdSize = 30
+// callerCount is the number of callers.
+const callerCount = 30
 
-// press makes the callers send requests one after another, until each is told that its connection
+// startCallers makes the callers send requests one after another, until each is told that its connection
 // closes.
-func press(t *testing.T, address, request string) *crowd {
-	k := &crowd{t: t, address: address, request: request}
-	for range crowdSize {
+func startCallers(t *testing.T, address, request string) *callerGroup {
+	k := &callerGroup{t: t, address: address, request: request}
+	for range callerCount {
 		c, err := net.Dial("tcp", address)
 		assert.NilError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
 		assert.NilError(t, c.SetDeadline(time.Now().Add(lineLimit)))
 		k.tasks.Go(func() { k.use(c) })
 	}
-	for k.asked.Load() < 20*crowdSize {
+	for k.sent.Load() < 20*callerCount {
 		time.Sleep(time.Millisecond)
 	}
 	return k
 }
 
 // use sends requests over one connection.
-func (k *crowd) use(c net.Conn) {
+func (k *callerGroup) use(c net.Conn) {
 	lines := bufio.NewReader(c)
 	for {
-		k.asked.Add(1)
+		k.sent.Add(1)
 		if _, err := fmt.Fprint(c, k.request); err != nil {
 			k.t.Errorf("a request could not be sent: %v", err)
 			return
@@ -106,13 +106,13 @@
 // wholeRequest is a submission that a node without a configuration refuses.
 const wholeRequest = "POST /q/0123456789abcdef HTTP/1.1\r\nHost: h.example\r\nContent-Length: 2\r\n\r\n{}"
 
-// TestStopsOfProcessesAnswerEveryRequest stops each process, with hang-ups in between, while
+// TestStoppingProcessesRespondToEveryRequest stops each process, with hang-ups in between, while
 // callers send requests on kept connections: every complete request gets a response.
-func TestStopsOfProcessesAnswerEveryRequest(t *testing.T) {
+func TestStoppingProcessesRespondToEveryRequest(t *testing.T) {
 	stop := []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP}
 	t.Run("node", func(t *testing.T) {
 		c, callers, _ := beginNode(t)
-		k := press(t, callers, wholeRequest)
+		k := startCallers(t, callers, wholeRequest)
 		c.signal(stop...)
 		k.tasks.Wait()
 		assert.Equal(t, c.end(), cmd.ExitOK, c.text())
@@ -121,14 +121,14 @@
 		path := filepath.Join(t.TempDir(), "fleet.toml")
 		assert.NilError(t, os.WriteFile(path, []byte(fleetText(t)), 0o600))
 		c := begin(t, "standin", "-listen", "127.0.0.1:0", "-fleet", path)
-		k := press(t, c.await(`stand-in with .* at (\S+)`)[1], "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n")
+		k := startCallers(t, c.await(`stand-in with .* at (\S+)`)[1], "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n")
 		c.signal(stop...)
 		k.tasks.Wait()
 		assert.Equal(t, c.end(), cmd.ExitOK, c.text())
 	})
 	t.Run("serve", func(t *testing.T) {
 		c, admin, _, _ := serveEntry(t)
-		k := press(t, admin, "GET /api/v1/status HTTP/1.1\r\nHost: x\r\n\r\n")
+		k := startCallers(t, admin, "GET /api/v1/status HTTP/1.1\r\nHost: x\r\n\r\n")
 		c.signal(stop...)
 		k.tasks.Wait()
 		assert.Equal(t, c.end(), cmd.ExitOK, c.text())
@@ -137,16 +137,16 @@
 		c := begin(t, "standalone", "-port", "0")
 		address := c.await(`callers http://(\S+)`)[1]
 		c.await(`try next`)
-		k := press(t, address, "GET /s/none HTTP/1.1\r\nHost: x\r\n\r\n")
+		k := startCallers(t, address, "GET /s/none HTTP/1.1\r\nHost: x\r\n\r\n")
 		c.signal(stop...)
 		k.tasks.Wait()
 		assert.Equal(t, c.end(), cmd.ExitOK, c.text())
 	})
 }
 
-// TestCallersBeyondTheBound checks that a node serves callers up to the limit of connections and
+// TestCallersBeyondConnectionLimit checks that a node serves callers up to the limit of connections and
 // tells further ones that there are too many.
-func TestCallersBeyondTheBound(t *testing.T) {
+func TestCallersBeyondConnectionLimit(t *testing.T) {
 	c, callers, _ := beginNode(t)
 	var list []net.Conn
 	status := func() string {
@@ -178,9 +178,9 @@
 	assert.Equal(t, c.end(), cmd.ExitOK, c.text())
 }
 
-// TestBodyOfACallerThatNeverComes checks that the connection of a caller whose body does not arrive
+// TestCallerWhoseBodyNeverArrives checks that the connection of a caller whose body does not arrive
 // is closed after a time.
-func TestBodyOfACallerThatNeverComes(t *testing.T) {
+func TestCallerWhoseBodyNeverArrives(t *testing.T) {
 	_, callers, _ := beginNode(t)
 	k, err := net.Dial("tcp", callers)
 	assert.NilError(t, err)
@@ -192,9 +192,9 @@
 	assert.Assert(t, err == nil || errors.Is(err, syscall.ECONNRESET), "the connection is still open: %v", err)
 }
 
-// TestNodeWhoseAddressIsTaken checks that a node whose address is in use exits with an error that
+// TestNodeWhoseAddressIsInUse checks that a node whose address is in use exits with an error that
 // names it, instead of running without callers.
-func TestNodeWhoseAddressIsTaken(t *testing.T) {
+func TestNodeWhoseAddressIsInUse(t *testing.T) {
 	text, path := nodeText(t), filepath.Join(t.TempDir(), "node.toml")
 	assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
 	l, err := net.Listen("tcp", callersPattern.FindStringSubmatch(text)[1])
--- a/entry/dump.go
+++ b/entry/dump.go
@@ -17,7 +17,7 @@
 
 // Dump is the state of the process, without secrets.
 type Dump struct {
-	Setting     setting.Settings                  `json:"setting"`
+	Settings    setting.Settings                  `json:"setting"`
 	Offset      uint64                            `json:"offset"`
 	LogTime     time.Time                         `json:"log_time"`
 	Contact     time.Time                         `json:"contact"`
@@ -46,7 +46,7 @@
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	return Dump{
-		Setting:     e.CurrentSetting(),
+		Settings:    e.CurrentSettings(),
 		Offset:      s.Offset,
 		LogTime:     s.Now,
 		Contact:     e.Ledger.LastContact(),
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -40,7 +40,7 @@
 
 // Entry is one entry process; New creates it and Start runs it.
 type Entry struct {
-	Setting   setting.Settings
+	Settings  setting.Settings
 	Clock     clock.Clock
 	Logger    log.Logger
 	Metrics   *metrics.Set
@@ -89,7 +89,7 @@
 // New creates an entry and opens its address for peers, but starts nothing else.
 func New(s setting.Settings, ports Ports, m *metrics.Set, c clock.Clock, logger log.Logger) (*Entry, error) {
 	e := &Entry{
-		Setting:          s,
+		Settings:         s,
 		Clock:            c,
 		Logger:           logger,
 		Metrics:          m,
@@ -109,7 +109,7 @@
 
 // openPeers opens the address for peers, with TLS unless it is disabled.
 func (e *Entry) openPeers() error {
-	p := e.Setting.Peers
+	p := e.Settings.Peers
 	e.client = &peerrpc.Client{Address: e.addressOf, Metrics: e.Metrics, Logger: e.Logger}
 	e.server = &peerrpc.Server{Logger: e.Logger, Metrics: e.Metrics}
 	if p.Insecure {
@@ -122,11 +122,11 @@
 		e.server.TLS = source.Server()
 		e.client.TLS = func() (*tls.Config, error) { return source.Client() }
 	}
-	address, err := e.server.Listen(e.Setting.Listen.Peers)
+	address, err := e.server.Listen(e.Settings.Listen.Peers)
 	if err != nil {
 		return err
 	}
-	e.Setting.Listen.Peers = address
+	e.Settings.Listen.Peers = address
 	return nil
 }
 
@@ -135,15 +135,15 @@
 		Log:         port,
 		Clock:       e.Clock,
 		Logger:      e.Logger,
-		Name:        e.Setting.Entry.Name,
-		DataCenter:  e.Setting.Entry.Hall,
-		Address:     cmp.Or(e.Setting.Peers.Advertise, e.Setting.Listen.Peers),
+		Name:        e.Settings.Entry.Name,
+		DataCenter:  e.Settings.Entry.Hall,
+		Address:     cmp.Or(e.Settings.Peers.Advertise, e.Settings.Listen.Peers),
 		Incarnation: incarnation,
 		Peers:       ledger.Peers{Relay: e.relay, State: e.newestPeerState, Append: e.appendByPeer},
 	}
 	e.Members = &members.Table{
 		Clock:       e.Clock,
-		Name:        e.Setting.Entry.Name,
+		Name:        e.Settings.Entry.Name,
 		Incarnation: incarnation,
 		State:       e.Ledger.State,
 		Logger:      e.Logger,
@@ -153,13 +153,13 @@
 }
 
 func (e *Entry) buildSlots(incarnation uint64) {
-	name := e.Setting.Entry.Name
+	name := e.Settings.Entry.Name
 	e.Lender = &slots.Lender{Clock: e.Clock, Name: name, Notify: e.queueNotification}
 	e.Outliers = &outlier.Detector{Clock: e.Clock, Peers: e.samePool}
 	e.Holder = &slots.Holder{
 		Clock:      e.Clock,
 		Name:       name,
-		DataCenter: e.Setting.Entry.Hall,
+		DataCenter: e.Settings.Entry.Hall,
 		MayUse:     e.Outliers.MayUse,
 		Cost: func(worker string, inUse int) float64 {
 			return float64(e.Outliers.Latency(worker)+time.Millisecond) * float64(inUse+1)
@@ -170,7 +170,7 @@
 }
 
 func (e *Entry) buildRequests() {
-	l := e.Setting.Limits
+	l := e.Settings.Limits
 	keys := &once.Service{
 		Clock:  e.Clock,
 		Logger: e.Logger,
@@ -195,7 +195,7 @@
 	}
 	e.Rollout = &rollout.Service{
 		Clock:   e.Clock,
-		Name:    e.Setting.Entry.Name,
+		Name:    e.Settings.Entry.Name,
 		State:   e.Ledger.State,
 		Propose: e.Ledger.ProposeNotify,
 		Reached: e.client.AwaitMark,
@@ -203,7 +203,7 @@
 }
 
 func (e *Entry) buildDeciders(ports Ports, incarnation uint64) {
-	name := e.Setting.Entry.Name
+	name := e.Settings.Entry.Name
 	e.fleet = &fleetwatch.Watcher{
 		Clock: e.Clock, Logger: e.Logger, Fleet: ports.Fleet, State: e.Ledger.State,
 		Propose: e.Propose, NotifyLeaving: e.leaving,
@@ -214,7 +214,7 @@
 	}
 	e.snapshotTaker = &snapshots.Snapshotter{
 		Clock: e.Clock, Logger: e.Logger, Name: name, Incarnation: incarnation,
-		Retention: e.Setting.Platform.Retention.Std(), State: e.Ledger.State, Propose: e.Propose,
+		Retention: e.Settings.Platform.Retention.Std(), State: e.Ledger.State, Propose: e.Propose,
 	}
 	e.Pools = &pools.Decider{
 		Clock: e.Clock, Logger: e.Logger, Name: name, Incarnation: incarnation,
@@ -250,7 +250,7 @@
 
 // exchange performs a slots exchange with an owner; this entry's own lender is called directly.
 func (e *Entry) exchange(ctx context.Context, owner string, x slots.Exchange) (slots.ExchangeResponse, error) {
-	if owner == e.Setting.Entry.Name {
+	if owner == e.Settings.Entry.Name {
 		return e.Lender.Exchange(x), nil
 	}
 	return e.client.Exchange(ctx, owner, x)
@@ -270,7 +270,7 @@
 	if len(peers) < 2 {
 		peers = e.Ledger.State().MemberNames()
 	}
-	peers = slices.DeleteFunc(peers, func(n string) bool { return n == e.Setting.Entry.Name })
+	peers = slices.DeleteFunc(peers, func(n string) bool { return n == e.Settings.Entry.Name })
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	return peers
 }
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -83,13 +83,13 @@
 
 // newestPeerState returns the newest state among the seeds and the known entries.
 func (e *Entry) newestPeerState(ctx context.Context) (state.State, error) {
-	addresses := append([]string(nil), e.CurrentSetting().Peers.Seeds...)
+	addresses := append([]string(nil), e.CurrentSettings().Peers.Seeds...)
 	for _, p := range e.alivePeers() {
 		addresses = append(addresses, e.addressOf(p))
 	}
 	var newest state.State
 	for _, a := range addresses {
-		if a == e.Setting.Listen.Peers {
+		if a == e.Settings.Listen.Peers {
 			continue
 		}
 		s, err := e.peerState(ctx, a)
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -8,7 +8,7 @@
 // Reload applies newer settings: the tokens, the seeds, and the limits that are read at each use.
 // It returns the keys of the other settings that differ, which take effect at the next start.
 func (e *Entry) Reload(s setting.Settings) (restart []string) {
-	reloaded := e.Setting
+	reloaded := e.Settings
 	reloaded.Tokens, reloaded.Peers.Seeds = s.Tokens, s.Peers.Seeds
 	reloaded.Limits.ShutdownDelay, reloaded.Limits.StaleAfter = s.Limits.ShutdownDelay, s.Limits.StaleAfter
 	reloaded.Limits.MaxConnections = s.Limits.MaxConnections
@@ -18,10 +18,10 @@
 	return setting.Changed(known, s)
 }
 
-// CurrentSetting returns the settings in force.
-func (e *Entry) CurrentSetting() setting.Settings {
+// CurrentSettings returns the settings in force.
+func (e *Entry) CurrentSettings() setting.Settings {
 	if reloaded := e.reloaded.Load(); reloaded != nil {
 		return *reloaded
 	}
-	return e.Setting
+	return e.Settings
 }
--- a/entry/run.go
+++ b/entry/run.go
@@ -124,7 +124,7 @@
 }
 
 func (e *Entry) sendNotification(ctx context.Context, p outgoingNotification) {
-	if p.entry == e.Setting.Entry.Name {
+	if p.entry == e.Settings.Entry.Name {
 		e.Holder.HandleNotification(p.notification)
 		return
 	}
@@ -155,7 +155,7 @@
 // runBalance hands slots over to entries that own fewer, one target at a time.
 func (e *Entry) runBalance(ctx context.Context) {
 	for ctx.Err() == nil {
-		if h, ok := slots.Balance(e.Ledger.State(), e.Setting.Entry.Name); ok {
+		if h, ok := slots.Balance(e.Ledger.State(), e.Settings.Entry.Name); ok {
 			if err := e.Ledger.ProposeOne(ctx, record.Record{Handoff: &h}); err != nil {
 				e.Logger.Debug().Err(err).Str("worker", h.Worker).Msg("slots not handed over")
 			}
@@ -180,7 +180,7 @@
 		return errors.Trace(ErrReplaced)
 	}
 	age := e.Clock.Now().Sub(e.Ledger.LastContact())
-	if age > e.CurrentSetting().Limits.StaleAfter.Std() {
+	if age > e.CurrentSettings().Limits.StaleAfter.Std() {
 		return errkind.New(errkind.LogUnavailable, "neither the log nor an up-to-date peer was reached for %s", age.Round(time.Second))
 	}
 	return nil
--- a/routers/apiv1/router.go
+++ b/routers/apiv1/router.go
@@ -106,7 +106,7 @@
 		return operator{}, errkind.New(errkind.Unauthorized, "the Authorization header must be: Bearer TOKEN")
 	}
 	var found *setting.Token
-	tokens := t.Entry.CurrentSetting().Tokens
+	tokens := t.Entry.CurrentSettings().Tokens
 	for i, k := range tokens {
 		if subtle.ConstantTimeCompare([]byte(k.Secret), []byte(secret)) == 1 {
 			found = &tokens[i]
--- a/routers/apiv1/status.go
+++ b/routers/apiv1/status.go
@@ -41,7 +41,7 @@
 	e := t.Entry
 	s := e.Ledger.State()
 	response := Status{
-		Entry:   e.Setting.Entry.Name,
+		Entry:   e.Settings.Entry.Name,
 		Ready:   "yes",
 		Offset:  s.Offset,
 		Version: s.Catalog.Version,
@@ -66,7 +66,7 @@
 			Serving: h.Serving, Available: p.MinAvailable, Spare: h.Spare(),
 		})
 	}
-	plan := pools.MakePlan(s, e.Setting.Entry.Name, e.Ledger.Incarnation, e.Clock.Now())
+	plan := pools.MakePlan(s, e.Settings.Entry.Name, e.Ledger.Incarnation, e.Clock.Now())
 	response.Shortages, response.Blocked = plan.Shortages, plan.Blocked
 	return response, nil
 }
--- a/routers/caller/caller.go
+++ b/routers/caller/caller.go
@@ -36,13 +36,13 @@
 	case pathHealthy:
 		w.WriteHeader(http.StatusOK)
 	case pathReady:
-		t.answerReady(w)
+		t.serveReady(w)
 	default:
 		errkind.Write(w, "", errkind.New(errkind.NotFound, "path %.80q is not served; allowed is %sSERVICE/PATH", r.URL.Path, servicePrefix))
 	}
 }
 
-func (t *Router) answerReady(w http.ResponseWriter) {
+func (t *Router) serveReady(w http.ResponseWriter) {
 	if err := t.Ready(); err != nil {
 		errkind.Write(w, "", errkind.New(errkind.Stopping, "%v", err))
 		return
--- a/routers/daemon/daemon.go
+++ b/routers/daemon/daemon.go
@@ -108,7 +108,7 @@
 	d.Entry.Withdraw()
 	d.callers.DisableKeepAlives()
 	quietWait{
-		Clock: d.Entry.Clock, LastRequest: d.Entry.Dispatch.LastRequest, Quiet: d.Entry.CurrentSetting().Limits.ShutdownDelay.Std(),
+		Clock: d.Entry.Clock, LastRequest: d.Entry.Dispatch.LastRequest, Quiet: d.Entry.CurrentSettings().Limits.ShutdownDelay.Std(),
 	}.await()
 	d.Entry.Dispatch.EndStreams()
 	if err := d.callers.Shutdown(ctx); err != nil {
--- a/services/dispatch/attempt.go
+++ b/services/dispatch/attempt.go
@@ -110,13 +110,13 @@
 // error is not nil, the result no longer holds a slot.
 func (c *call) attempt(t *http.Transport) (*result, error) {
 	c.attempts++
-	asked := c.d.Clock.Now()
-	latest := c.slotDeadline(asked)
+	requestedAt := c.d.Clock.Now()
+	latest := c.slotDeadline(requestedAt)
 	slot, err := c.acquire(latest)
 	if err != nil {
 		return nil, err
 	}
-	a := &result{slot: slot, slotRequestedAt: asked, sentAt: c.d.Clock.Now(), steps: traceTimes{clock: c.d.Clock}}
+	a := &result{slot: slot, slotRequestedAt: requestedAt, sentAt: c.d.Clock.Now(), steps: traceTimes{clock: c.d.Clock}}
 	if !a.sentAt.Before(latest) {
 		slot.Release()
 		return nil, errkind.New(errkind.DeadlinePassed, "a slot of pool %s was granted too late", c.service.Pool)
--- a/services/dispatch/parse.go
+++ b/services/dispatch/parse.go
@@ -44,11 +44,11 @@
 func (c *call) parseTimes() error {
 	limit := c.service.Deadline.Std()
 	if text := c.r.Header.Get(HeaderTimeout); text != "" {
-		asked, err := time.ParseDuration(text)
-		if err != nil || asked <= 0 {
+		requested, err := time.ParseDuration(text)
+		if err != nil || requested <= 0 {
 			return errkind.New(errkind.BadRequest, "%s: %q is not a duration; an example is 500ms", HeaderTimeout, text)
 		}
-		limit = min(limit, asked)
+		limit = min(limit, requested)
 	}
 	c.deadline = c.startedAt.Add(limit)
 	c.class = c.service.Class
--- a/services/pools/decider_test.go
+++ b/services/pools/decider_test.go
@@ -31,18 +31,18 @@
 	y.runPlan()
 	y.reportIdle()
 	y.runPlan()
-	asked := make(map[string]int)
+	requests := make(map[string]int)
 	d := &Decider{
 		Clock: clock.NewFake(y.now).Clock(), Logger: log.Nop(), Name: "e", Incarnation: 1,
 		Fleet: platform.Fleet{Reboot: func(_ context.Context, worker string) error {
-			asked[worker]++
+			requests[worker]++
 			return respond()
 		}},
 		Propose: func(_ context.Context, records []record.Record) ([]state.Verdict, error) {
 			return y.put(records...), nil
 		},
 	}
-	return y, d, asked
+	return y, d, requests
 }
 
 // runDecider does what the decider's loop would do for the newest state.
@@ -56,19 +56,19 @@
 // it has lost the role. No other process may request it, so otherwise the rack would stay drained
 // forever and no other rack would be maintained.
 func TestRebootAfterTheRoleWasLost(t *testing.T) {
-	y, d, asked := newRebootTest(t, func() error { return nil })
+	y, d, requests := newRebootTest(t, func() error { return nil })
 	y.now = y.now.Add(2 * time.Minute) // the lease expires
 	y.put(record.Record{Submit: &record.Submit{ID: "x"}})
 	assert.Assert(t, !d.holds(y.s))
 	before := y.s.Offset
 	runDecider(d, y.s)
-	assert.Assert(t, len(asked) > 0)
+	assert.Assert(t, len(requests) > 0)
 	assert.Equal(t, y.s.Offset, before, "it proposes nothing without the role")
 }
 
 func TestRefusedRebootIsRequestedAgain(t *testing.T) {
 	refuse := true
-	y, d, asked := newRebootTest(t, func() error {
+	y, d, requests := newRebootTest(t, func() error {
 		if refuse {
 			return errkind.New(errkind.Overloaded, "later")
 		}
@@ -78,8 +78,8 @@
 	refuse = false
 	d.RunOnce(context.Background(), y.s)
 	d.RunOnce(context.Background(), y.s)
-	for worker, n := range asked {
+	for worker, n := range requests {
 		assert.Equal(t, n, 2, "%s: requested again after the refusal, and not after an unknown outcome", worker)
 	}
-	assert.Assert(t, len(asked) > 0)
+	assert.Assert(t, len(requests) > 0)
 }
--- a/services/slots/queue.go
+++ b/services/slots/queue.go
@@ -99,14 +99,14 @@
 
 // shedOldest drops the request of a line that has waited longest, and reports whether there was
 // one.
-func shedOldest(line *[]*waiter, comeBack time.Duration) bool {
+func shedOldest(line *[]*waiter, retryAfter time.Duration) bool {
 	if len(*line) == 0 {
 		return false
 	}
 	w := (*line)[0]
 	*line = (*line)[1:]
 	w.removed = true
-	w.retryAfter = comeBack
+	w.retryAfter = retryAfter
 	close(w.shed)
 	return true
 }
