--- a/entry/dump.go
+++ b/entry/dump.go
@@ -17,7 +17,7 @@
 
 // Dump is the state of the process, without secrets.
 type Dump struct {
-	Setting     setting.Settings                  `json:"setting"`
+	Settings    setting.Settings                  `json:"setting"`
 	Offset      uint64                            `json:"offset"`
 	LogTime     time.Time                         `json:"log_time"`
 	Contact     time.Time                         `json:"contact"`
@@ -39,14 +39,14 @@
 	HeapBytes   uint64                            `json:"heap_bytes"`
 }
 
-// Dump returns what the process holds.
+// Dump returns the state of the process.
 func (e *Entry) Dump() Dump {
 	s := e.Ledger.State()
 	held, waiting := e.Holder.Dump()
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	return Dump{
-		Setting:     e.CurrentSetting(),
+		Settings:    e.CurrentSettings(),
 		Offset:      s.Offset,
 		LogTime:     s.Now,
 		Contact:     e.Ledger.LastContact(),
