--- a/standin/world/advice.go
+++ b/standin/world/advice.go
@@ -17,15 +17,15 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// RequireTickets has the workers of a pool run only steps for which they get a ticket,
-// which the advice service gives for about half of them.
+// RequireTickets makes the workers of a pool run only steps for which they get a ticket.
+// The advice service issues tickets to about half of the workers.
 func (w *World) RequireTickets(pool string, valid time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.policies[pool] = valid
+	w.ticketValidity[pool] = valid
 }
 
-// The times of the advice service.
+// Durations of requests to the advice service.
 const (
 	adviceTime = 20 * time.Millisecond
 	adviceEach = time.Millisecond
@@ -34,7 +34,7 @@
 // allowed reports whether a worker may run a step.
 func allowed(step string, id worker.ID) bool {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(step + "/" + string(id))) // a hash never fails to take bytes
+	_, _ = h.Write([]byte(step + "/" + string(id))) // hash.Hash.Write never returns an error
 	return h.Sum32()%2 == 0
 }
 
@@ -45,7 +45,7 @@
 		select {
 		case busy <- struct{}{}:
 		case <-ctx.Done():
-			return nil, errkind.New(errkind.OutcomeUnknown, "the caller has left")
+			return nil, errkind.New(errkind.OutcomeUnknown, "the caller has gone away")
 		}
 		defer func() { <-busy }()
 		time.Sleep(adviceTime + time.Duration(len(ids))*adviceEach)
@@ -59,10 +59,10 @@
 	}}
 }
 
-// admitted reports whether a start on a worker brings a ticket that holds. The
-// lock is held.
-func (w *World) admitted(o *Worker, s port.Start) bool {
-	valid, has := w.policies[o.info.Pool]
+// validTicket reports whether a start on a worker carries a valid ticket. The caller holds
+// w.mu.
+func (w *World) validTicket(o *Worker, s port.Start) bool {
+	valid, has := w.ticketValidity[o.info.Pool]
 	if !has {
 		return true
 	}
@@ -75,5 +75,5 @@
 		return false
 	}
 	at, err := strconv.ParseInt(parts[2], 10, 64)
-	return err == nil && time.Since(time.Unix(0, at)) < valid && !time.Unix(0, at).Before(o.began)
+	return err == nil && time.Since(time.Unix(0, at)) < valid && !time.Unix(0, at).Before(o.startedAt)
 }
--- a/standin/world/check.go
+++ b/standin/world/check.go
@@ -13,66 +13,66 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// submitted is a job that was handed in, and what the world saw of it.
-type submitted struct {
-	sub       job.Submission
-	cancelled time.Time
-	done      map[string]bool        // tasks that have ended as done
-	noted     map[string]bool        // of them, those taken note of
-	fails     map[string]int         // failed ends taken note of
-	failed    map[string][]worker.ID // the workers of all failed ends
-	away      map[string]time.Time   // since when a task that lasts is not at work
-	ordered   map[string]bool        // such a task was ended by an order
-	refused   bool                   // its caller gave up after refusals only
-	begun     bool                   // a task of it was begun
-	crashes   map[string]int         // workers that a task has crashed
-	crashed   map[string]int         // starts of a task since it has crashed as many as is allowed
-	beside    map[string]int         // workers that have crashed under a task, by whatever cause
+// jobRecord is a submitted job together with what was observed of it.
+type jobRecord struct {
+	submission           job.Submission
+	cancelled            time.Time
+	done                 map[string]bool        // tasks that ended as done
+	acknowledged         map[string]bool        // subset of done whose ends were acknowledged
+	acknowledgedFailures map[string]int         // acknowledged failures, by task
+	failures             map[string][]worker.ID // the workers of all failed ends
+	absentSince          map[string]time.Time   // since when a long-running task is not working
+	endedByOrder         map[string]bool        // long-running tasks that an order has ended
+	refused              bool                   // the caller gave up after getting refusals only
+	started              bool                   // one of its tasks was started
+	crashesCaused        map[string]int         // workers that a task has crashed
+	startsAfterCrashes   map[string]int         // starts of a task after it reached the crash limit
+	crashesUnder         map[string]int         // workers that have crashed while running a task, for any reason
 }
 
-// cancelTime is how long after a cancel's acknowledgement a task may begin, also by an
-// order that came before and is carried out late: an order can tell until when.
-const cancelTime = 3 * time.Second
+// cancelBound is how long after the acknowledgement of a cancel a task may still be
+// started, also by an order that was sent before and is applied late: an order can carry a
+// deadline.
+const cancelBound = 3 * time.Second
 
-// RecordSubmission tells the world of a job before it is handed in.
+// RecordSubmission records a job before it is submitted.
 func (w *World) RecordSubmission(s job.Submission) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.jobs[s.ID] = &submitted{
-		sub: s, done: make(map[string]bool), noted: make(map[string]bool), fails: make(map[string]int), away: make(map[string]time.Time),
-		ordered: make(map[string]bool), failed: make(map[string][]worker.ID), crashes: make(map[string]int), crashed: make(map[string]int),
-		beside: make(map[string]int),
+	w.jobs[s.ID] = &jobRecord{
+		submission: s, done: make(map[string]bool), acknowledged: make(map[string]bool), acknowledgedFailures: make(map[string]int), absentSince: make(map[string]time.Time),
+		endedByOrder: make(map[string]bool), failures: make(map[string][]worker.ID), crashesCaused: make(map[string]int), startsAfterCrashes: make(map[string]int),
+		crashesUnder: make(map[string]int),
 	}
 }
 
-// RecordCancel tells the world that a job's cancelling was acknowledged.
+// RecordCancel records that the cancel of a job was acknowledged.
 func (w *World) RecordCancel(id job.ID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.jobs[id].cancelled = time.Now()
 }
 
-// RecordRefusal tells the world that each try to hand a job in was refused, and that its
-// caller has given up: it must not have begun, and never may.
+// RecordRefusal records that each attempt to submit a job was refused and that its caller
+// has given up: the job must not have started, and must never start.
 func (w *World) RecordRefusal(id job.ID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.jobs[id].refused = true
-	if w.jobs[id].begun {
-		w.broken("REFUSED: job %s was refused and has begun", id)
+	if w.jobs[id].started {
+		w.violation("REFUSED: job %s was refused and has started", id)
 	}
 }
 
-// HasFailed reports whether a task of a job, or a gang, has failed as often as it
-// may.
+// HasFailed reports whether a task of a job, or a gang, has used up its attempts.
 func (w *World) HasFailed(id job.ID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	j, gangs := w.jobs[id], make(map[job.StepRef]int)
-	for task, on := range j.failed {
+	for task, on := range j.failures {
 		n := len(on)
 		ref, _ := job.ParseTask(task)
-		if j.sub.Steps[ref.Step].Gang {
+		if j.submission.Steps[ref.Step].Gang {
 			gangs[ref.StepRef] += n
 			n = gangs[ref.StepRef]
 		}
@@ -83,39 +83,41 @@
 	return false
 }
 
-// FailedOn returns how often each task of a job has ended as failed, and on which workers.
+// FailedOn returns the workers on which each task of a job has ended as failed, one entry a
+// failure.
 func (w *World) FailedOn(id job.ID) map[string][]worker.ID {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return maps.Clone(w.jobs[id].failed)
+	return maps.Clone(w.jobs[id].failures)
 }
 
-// HasCompleted reports whether each task of a job without times has ended as done.
+// HasCompleted reports whether each task of a job that runs once has ended as done.
 func (w *World) HasCompleted(id job.ID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	j, tasks := w.jobs[id], 0
-	for i := range j.sub.Steps {
-		tasks += j.sub.Steps[i].Count
+	for i := range j.submission.Steps {
+		tasks += j.submission.Steps[i].Count
 	}
 	return len(j.done) == tasks
 }
 
-// GangTimeouts returns how many runs have waited in vain for the others of their gang.
+// GangTimeouts returns how many runs have timed out waiting for other members of their
+// gang.
 func (w *World) GangTimeouts() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.alone
+	return w.gangTimeouts
 }
 
-// Runs returns the runs of a job's tasks that are under way.
+// Runs returns the runs of a job's tasks that are in progress.
 func (w *World) Runs(id job.ID) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var runs []string
 	for _, o := range w.workers {
 		for name, r := range o.runs {
-			if ref, _ := job.ParseTask(name); ref.Job == id && !o.over {
+			if ref, _ := job.ParseTask(name); ref.Job == id && !o.gone {
 				runs = append(runs, fmt.Sprintf("%s run %d on %s", name, r.number, o.info.ID))
 			}
 		}
@@ -123,81 +125,82 @@
 	return runs
 }
 
-// started checks a start, and returns the task's step and room. The lock is held.
-func (w *World) started(node string, o *Worker, s port.Start) (*job.Step, job.Size) {
+// checkStart checks a start against the rules, and returns the task's step and size. The
+// caller holds w.mu.
+func (w *World) checkStart(node string, o *Worker, s port.Start) (*job.Step, job.Size) {
 	ref, err := job.ParseTask(s.Task)
 	j := w.jobs[ref.Job]
 	if err != nil || j == nil {
-		w.broken("UNASKED: %s starts %s", node, s.Task)
+		w.violation("UNASKED: %s starts %s", node, s.Task)
 		return &job.Step{Estimate: time.Second}, job.Size{}
 	}
-	j.begun = true
+	j.started = true
 	if j.refused {
-		w.broken("REFUSED: %s starts %s of a job that was refused", node, s.Task)
+		w.violation("REFUSED: %s starts %s of a job that was refused", node, s.Task)
 	}
-	step := &j.sub.Steps[ref.Step]
-	if !j.cancelled.IsZero() && time.Since(j.cancelled) > cancelTime && !w.fault(node).apart() {
-		w.broken("UNASKED: %s starts %s of a cancelled job", node, s.Task)
+	step := &j.submission.Steps[ref.Step]
+	if !j.cancelled.IsZero() && time.Since(j.cancelled) > cancelBound && !w.fault(node).isolated() {
+		w.violation("UNASKED: %s starts %s of a cancelled job", node, s.Task)
 	}
-	if s.Spec != j.sub.Spec {
-		w.broken("UNASKED: %s starts %s with another specification", node, s.Task)
+	if s.Spec != j.submission.Spec {
+		w.violation("UNASKED: %s starts %s with another specification", node, s.Task)
 	}
-	w.checkTwice(node, j, step, s)
+	w.checkDuplicate(node, j, step, s)
 	w.checkOrder(node, j, ref, step, s)
 	w.checkCrashes(node, j, s)
 	w.checkLimit(node, j, step, s.Task)
 	used := step.Reservation()
 	onWorker := 0
 	for name, r := range o.runs {
-		used = used.Plus(r.room)
+		used = used.Plus(r.size)
 		if other, _ := job.ParseTask(name); other.StepRef == ref.StepRef {
 			onWorker++
 		}
 	}
-	if !used.FitsIn(o.room()) {
-		w.broken("LIMIT: %s starts %s on %s, which then holds %v", node, s.Task, o.info.ID, used)
+	if !used.FitsIn(o.capacity()) {
+		w.violation("LIMIT: %s starts %s on %s, which then uses %v", node, s.Task, o.info.ID, used)
 	}
 	if step.MaxPerWorker > 0 && onWorker >= step.MaxPerWorker {
-		w.broken("ROUTE: %s starts %s beside %d of its step", node, s.Task, onWorker)
+		w.violation("ROUTE: %s starts %s on a worker that runs %d of its step", node, s.Task, onWorker)
 	}
 	if step.Label != "" && !o.info.HasLabel(step.Label) {
-		w.broken("ROUTE: %s starts %s on %s, which lacks %s", node, s.Task, o.info.ID, step.Label)
+		w.violation("ROUTE: %s starts %s on %s, which lacks %s", node, s.Task, o.info.ID, step.Label)
 	}
 	return step, step.Reservation()
 }
 
-// checkTwice checks that no other run of a task is under way and none has ended
-// as done. The lock is held.
-func (w *World) checkTwice(node string, j *submitted, step *job.Step, s port.Start) {
-	if j.noted[s.Task] {
-		w.broken("TWICE: %s starts %s, which is done", node, s.Task)
+// checkDuplicate checks that no other run of a task is in progress and that none has ended
+// as done. The caller holds w.mu.
+func (w *World) checkDuplicate(node string, j *jobRecord, step *job.Step, s port.Start) {
+	if j.acknowledged[s.Task] {
+		w.violation("TWICE: %s starts %s, which is done", node, s.Task)
 	}
 	if step.AllowDuplicates {
 		return
 	}
 	for _, other := range w.workers {
-		if !other.over {
-			other.lapse() // its timer may be late
+		if !other.gone {
+			other.expireLease() // its timer may fire late
 		}
-		if r := other.runs[s.Task]; r != nil && !other.over {
-			w.broken("TWICE: %s starts %s run %d beside run %d on %s", node, s.Task, s.Number, r.number, other.info.ID)
+		if r := other.runs[s.Task]; r != nil && !other.gone {
+			w.violation("TWICE: %s starts %s run %d while run %d is on %s", node, s.Task, s.Number, r.number, other.info.ID)
 		}
 	}
 }
 
-// checkOrder checks that a step's turn has come and that the task may be tried
-// again. The lock is held.
-func (w *World) checkOrder(node string, j *submitted, ref job.TaskRef, step *job.Step, s port.Start) {
+// checkOrder checks that the preceding steps are done and that the task has attempts left.
+// The caller holds w.mu.
+func (w *World) checkOrder(node string, j *jobRecord, ref job.TaskRef, step *job.Step, s port.Start) {
 	for _, a := range step.DependsOn {
-		for i := range j.sub.Steps[a].Count {
-			before := job.TaskRef{StepRef: job.StepRef{Job: ref.Job, Round: ref.Round, Step: a}, Index: i}
-			if !j.done[before.String()] {
-				w.broken("ORDER: %s starts %s before %s is done", node, s.Task, before)
+		for i := range j.submission.Steps[a].Count {
+			predecessor := job.TaskRef{StepRef: job.StepRef{Job: ref.Job, Round: ref.Round, Step: a}, Index: i}
+			if !j.done[predecessor.String()] {
+				w.violation("ORDER: %s starts %s before %s is done", node, s.Task, predecessor)
 			}
 		}
 	}
-	if most := w.attempts(); !step.LongRunning && most > 0 && j.fails[s.Task] >= most {
-		w.broken("BUDGET: %s starts %s after %d failures", node, s.Task, j.fails[s.Task])
+	if limit := w.attempts(); !step.LongRunning && limit > 0 && j.acknowledgedFailures[s.Task] >= limit {
+		w.violation("BUDGET: %s starts %s after %d failures", node, s.Task, j.acknowledgedFailures[s.Task])
 	}
 }
 
@@ -206,22 +209,23 @@
 
 func (w *World) attempts() int { return MaxAttempts }
 
-// ran notes a run's end. The lock is held.
-func (w *World) ran(o *Worker, r *running, how worker.EndReason) {
-	w.left(o, r)
+// recordEnd records the end of a run. The caller holds w.mu.
+func (w *World) recordEnd(o *Worker, r *running, reason worker.EndReason) {
+	w.recordGone(o, r)
 	ref, _ := job.ParseTask(r.task)
 	j := w.jobs[ref.Job]
 	switch {
 	case j == nil:
-	case how == worker.Done:
+	case reason == worker.Done:
 		j.done[r.task] = true
-	case how == worker.Failed:
-		j.failed[r.task] = append(j.failed[r.task], o.info.ID)
+	case reason == worker.Failed:
+		j.failures[r.task] = append(j.failures[r.task], o.info.ID)
 	}
 }
 
-// noted takes that an end may be forgotten. The lock is held.
-func (w *World) noted(e worker.EndedRun) {
+// acknowledge records that a node has acknowledged an end, which the worker may then
+// forget. The caller holds w.mu.
+func (w *World) acknowledge(e worker.EndedRun) {
 	ref, _ := job.ParseTask(e.Task)
 	j := w.jobs[ref.Job]
 	if j == nil {
@@ -229,87 +233,87 @@
 	}
 	switch e.Reason {
 	case worker.Done:
-		j.noted[e.Task] = true
+		j.acknowledged[e.Task] = true
 	case worker.Failed:
-		j.fails[e.Task]++
+		j.acknowledgedFailures[e.Task]++
 	}
 }
 
-// stopped checks that a task that lasts may be taken away by an order. The lock
-// is held.
-func (w *World) stopped(node string, o *Worker, r *running) {
+// checkStop checks that an order may end a long-running task. The caller holds w.mu.
+func (w *World) checkStop(node string, o *Worker, r *running) {
 	ref, _ := job.ParseTask(r.task)
 	j := w.jobs[ref.Job]
 	if j == nil || !j.cancelled.IsZero() || o.info.Draining {
 		return
 	}
-	step := &j.sub.Steps[ref.Step]
-	if !step.LongRunning || step.MaxUnavailable == 0 || o.percent(r) < whole {
+	step := &j.submission.Steps[ref.Step]
+	if !step.LongRunning || step.MaxUnavailable == 0 || o.percent(r) < fullPercent {
 		return
 	}
-	away := 0
+	unavailable := 0
 	for i := range step.Count {
 		other := job.TaskRef{StepRef: ref.StepRef, Index: i}
-		if other != ref && w.isAway(j, other.String()) {
-			away++
+		if other != ref && w.isUnavailable(j, other.String()) {
+			unavailable++
 		}
 	}
-	if away >= step.MaxUnavailable && time.Now().After(w.fault(node).OrdersDelayedUntil) {
-		w.broken("AVAIL: %s ends %s while %d others of its step are away", node, r.task, away)
+	if unavailable >= step.MaxUnavailable && time.Now().After(w.fault(node).OrdersDelayedUntil) {
+		w.violation("AVAIL: %s ends %s while %d others of its step are unavailable", node, r.task, unavailable)
 	}
-	j.ordered[r.task] = true
+	j.endedByOrder[r.task] = true
 }
 
-// noticeTime is how long a task must not be at work to be away, unless an order
-// has ended it.
+// noticeTime is how long a task must not have been working to count as unavailable, unless
+// an order has ended it.
 const noticeTime = 4500 * time.Millisecond
 
-// isAway reports whether a task that lasts counts as away. The lock is held.
-func (w *World) isAway(j *submitted, task string) bool {
-	if w.atWork(task) {
-		delete(j.ordered, task)
-		delete(j.away, task)
+// isUnavailable reports whether a long-running task counts as unavailable. The caller holds
+// w.mu.
+func (w *World) isUnavailable(j *jobRecord, task string) bool {
+	if w.isWorking(task) {
+		delete(j.endedByOrder, task)
+		delete(j.absentSince, task)
 		return false
 	}
-	since, known := j.away[task]
-	return j.ordered[task] || known && time.Since(since) >= noticeTime
+	since, known := j.absentSince[task]
+	return j.endedByOrder[task] || known && time.Since(since) >= noticeTime
 }
 
-// left notes that a run of a worker is gone. One that was at work until now is away
-// from now on, and not by an order. The lock is held.
-func (w *World) left(o *Worker, r *running) {
+// recordGone records that a run of a worker is gone. One that was working until now becomes
+// unavailable now, and not by an order. The caller holds w.mu.
+func (w *World) recordGone(o *Worker, r *running) {
 	ref, _ := job.ParseTask(r.task)
 	j := w.jobs[ref.Job]
 	if j == nil {
 		return
 	}
-	if !r.stopping && o.percent(r) >= whole {
-		delete(j.ordered, r.task)
-		j.away[r.task] = time.Now()
+	if !r.stopping && o.percent(r) >= fullPercent {
+		delete(j.endedByOrder, r.task)
+		j.absentSince[r.task] = time.Now()
 		return
 	}
-	if _, known := j.away[r.task]; !known {
-		j.away[r.task] = time.Now()
+	if _, known := j.absentSince[r.task]; !known {
+		j.absentSince[r.task] = time.Now()
 	}
 }
 
-// atWork reports whether a task that lasts is at work. The lock is held.
-func (w *World) atWork(task string) bool {
+// isWorking reports whether a long-running task is working. The caller holds w.mu.
+func (w *World) isWorking(task string) bool {
 	for _, o := range w.workers {
-		if r := o.runs[task]; r != nil && !o.over && !r.stopping && o.percent(r) >= whole {
+		if r := o.runs[task]; r != nil && !o.gone && !r.stopping && o.percent(r) >= fullPercent {
 			return true
 		}
 	}
 	return false
 }
 
-// WorkingTasks returns how many tasks of a step that lasts are at work.
+// WorkingTasks returns how many tasks of a long-running step are working.
 func (w *World) WorkingTasks(ref job.StepRef) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
-	for i := range w.jobs[ref.Job].sub.Steps[ref.Step].Count {
-		if w.atWork(job.TaskRef{StepRef: ref, Index: i}.String()) {
+	for i := range w.jobs[ref.Job].submission.Steps[ref.Step].Count {
+		if w.isWorking(job.TaskRef{StepRef: ref, Index: i}.String()) {
 			n++
 		}
 	}
@@ -320,5 +324,5 @@
 func (w *World) TaskCount(ref job.StepRef) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.jobs[ref.Job].sub.Steps[ref.Step].Count
+	return w.jobs[ref.Job].submission.Steps[ref.Step].Count
 }
--- a/standin/world/check_test.go
+++ b/standin/world/check_test.go
@@ -16,26 +16,26 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// TestJudge has a node do what it must not, and what it may.
-func TestJudge(t *testing.T) {
+// TestRules checks which starts break a rule and which are allowed.
+func TestRules(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		before func(w *World)
-		rule   string // that is broken, "" for none
+		rule   string // the rule that is broken, "" for none
 	}{
 		{"a job that is wanted", func(*World) {}, ""},
 		{"a refused job", func(w *World) { w.RecordRefusal("0000000000000001") }, "REFUSED"},
 		{"soon after a cancel", func(w *World) {
 			w.RecordCancel("0000000000000001")
-			time.Sleep(cancelTime - orderTime)
+			time.Sleep(cancelBound - orderTime)
 		}, ""},
 		{"long after a cancel", func(w *World) {
 			w.RecordCancel("0000000000000001")
-			time.Sleep(cancelTime + time.Millisecond)
+			time.Sleep(cancelBound + time.Millisecond)
 		}, "UNASKED"},
 		{"long after a cancel and out of touch", func(w *World) {
 			w.RecordCancel("0000000000000001")
-			time.Sleep(cancelTime + time.Millisecond)
+			time.Sleep(cancelBound + time.Millisecond)
 			w.SetFaults("n1", func(f *Faults) { f.IsolatedUntil = time.Now().Add(time.Second) })
 		}, ""},
 	} {
@@ -52,16 +52,16 @@
 				time.Sleep(2 * time.Second)
 				assert.Equal(t, len(w.Runs("0000000000000001")), 0)
 				assert.Assert(t, !w.HasFailed("0000000000000001") && !w.HasCompleted("0000000000000001"))
-				broken := strings.Join(w.Violations(), "\n")
-				assert.Assert(t, (broken == "") == (c.rule == "") && strings.HasPrefix(broken, c.rule), broken)
+				violations := strings.Join(w.Violations(), "\n")
+				assert.Assert(t, (violations == "") == (c.rule == "") && strings.HasPrefix(violations, c.rule), violations)
 			})
 		})
 	}
 }
 
-// TestRefusedAfterItHasBegun has a caller be told that a job will not run which
-// does.
-func TestRefusedAfterItHasBegun(t *testing.T) {
+// TestRefusalOfStartedJob guards against a caller being told that a job will not run after
+// the job has started.
+func TestRefusalOfStartedJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := New(1)
 		id := w.AddWorker("m-1", "p", "r-1", job.Size{})
@@ -72,10 +72,10 @@
 	})
 }
 
-// TestDeafWorkerCarriesOrdersOutLate has an order reach a worker that does not hear
-// until just before, and just after, a cancel's bound is over.
-func TestDeafWorkerCarriesOrdersOutLate(t *testing.T) {
-	for deaf, rule := range map[time.Duration]string{cancelTime - time.Second: "", cancelTime + time.Second: "UNASKED"} {
+// TestDeferredOrders has a worker apply a deferred order just before, and just after, the
+// bound on starts after a cancel.
+func TestDeferredOrders(t *testing.T) {
+	for delay, rule := range map[time.Duration]string{cancelBound - time.Second: "", cancelBound + time.Second: "UNASKED"} {
 		synctest.Test(t, func(t *testing.T) {
 			w := New(1)
 			id := w.AddWorker("m-1", "p", "r-1", job.Size{})
@@ -84,18 +84,18 @@
 			a := w.Workers("n1").Open(worker.Worker{ID: id}).Start(t.Context(), port.Start{Task: "0000000000000001.0.0.0", Number: 1, Deadline: time.Hour})
 			assert.Equal(t, a.Result, port.Unknown)
 			w.RecordCancel("0000000000000001")
-			time.Sleep(deaf)
+			time.Sleep(delay)
 			assert.Equal(t, len(w.Runs("0000000000000001")), 0)
 			w.ChangeWorker(id, func(o *Worker) { o.DefersOrders = false })
 			assert.Equal(t, len(w.Runs("0000000000000001")), 1)
-			broken := strings.Join(w.Violations(), "\n")
-			assert.Assert(t, (broken == "") == (rule == "") && strings.HasPrefix(broken, rule), broken)
+			violations := strings.Join(w.Violations(), "\n")
+			assert.Assert(t, (violations == "") == (rule == "") && strings.HasPrefix(violations, rule), violations)
 		})
 	}
 }
 
-// TestGangEndsTogether has the members of a gang be done at once, be broken by the
-// end of one, and wait for one that does not come.
+// TestGangEndsTogether checks that the members of a gang are done together, that the end of
+// one breaks the others, and that a missing member makes the others time out.
 func TestGangEndsTogether(t *testing.T) {
 	for _, c := range []struct {
 		members int
--- a/standin/world/crash.go
+++ b/standin/world/crash.go
@@ -16,12 +16,12 @@
 // starts it.
 const CrashingSpec = "crashes its worker"
 
-// The times and bounds of tasks that crash their workers.
+// Durations and limits of tasks that crash their workers.
 const (
 	crashAfter   = 10 * time.Millisecond // from the start of such a task
 	crashDown    = 3 * time.Second       // until the worker's instance is back
-	crashesMost  = 3                     // workers that a task may crash before its starts are counted
-	startsBeyond = 3                     // starts after that many crashes, which is one too many
+	maxCrashes   = 3                     // workers that a task may crash before its starts are counted
+	excessStarts = 3                     // starts after that many crashes, which is one too many
 )
 
 // crashes reports whether a start crashes the worker.
@@ -30,52 +30,52 @@
 	return err == nil && strings.HasPrefix(s.Spec, CrashingSpec) && ref.Index == 0
 }
 
-// crashUnder ends a worker's life by a task that it runs, and counts that.
-func (w *World) crashUnder(id worker.ID, task string) {
+// crashByTask crashes a worker because of a task that it runs, and counts the crash.
+func (w *World) crashByTask(id worker.ID, task string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	o := w.workers[id]
-	if o.over || o.runs[task] == nil {
+	if o.gone || o.runs[task] == nil {
 		return
 	}
 	if ref, _ := job.ParseTask(task); w.jobs[ref.Job] != nil {
-		w.jobs[ref.Job].crashes[task]++
+		w.jobs[ref.Job].crashesCaused[task]++
 	}
 	w.crash(o, crashDown)
-	clear(o.runs) // members elsewhere of gangs wait for those that were lost
+	clear(o.runs) // gang members on other workers keep waiting for the lost ones
 }
 
-// checkCrashes checks that a task that has crashed as many workers as is allowed is
-// begun no more, but for starts that were decided on meanwhile. The lock is held.
-func (w *World) checkCrashes(node string, j *submitted, s port.Start) {
-	if j.crashes[s.Task] < crashesMost || w.fault(node).apart() {
+// checkCrashes checks that a task that has reached the crash limit is not started again,
+// except by starts that were decided on concurrently. The caller holds w.mu.
+func (w *World) checkCrashes(node string, j *jobRecord, s port.Start) {
+	if j.crashesCaused[s.Task] < maxCrashes || w.fault(node).isolated() {
 		return
 	}
-	j.crashed[s.Task]++
-	if j.crashed[s.Task] == startsBeyond {
-		w.broken("BUDGET: %s starts %s for the third time since three workers have crashed under it", node, s.Task)
+	j.startsAfterCrashes[s.Task]++
+	if j.startsAfterCrashes[s.Task] == excessStarts {
+		w.violation("BUDGET: %s starts %s for the third time after it crashed three workers", node, s.Task)
 	}
 }
 
-// crashedUnder counts a crash of a worker for each task that it runs. The lock is held.
-func (w *World) crashedUnder(o *Worker) {
+// countCrash counts a crash of a worker for each task that it runs. The caller holds w.mu.
+func (w *World) countCrash(o *Worker) {
 	for name := range o.runs {
 		if ref, _ := job.ParseTask(name); w.jobs[ref.Job] != nil {
-			w.jobs[ref.Job].beside[name]++
+			w.jobs[ref.Job].crashesUnder[name]++
 		}
 	}
 }
 
-// mayGiveUp is under how many crashes of workers a task may be given up.
-const mayGiveUp = 2
+// giveUpCrashes is the number of worker crashes after which a task may be given up.
+const giveUpCrashes = 2
 
-// MayGiveUp reports whether so many workers have crashed under a task of a job, by
-// whatever cause, that it may be given up.
+// MayGiveUp reports whether enough workers have crashed while running a task of a job, for
+// any reason, that the task may be given up.
 func (w *World) MayGiveUp(id job.ID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, n := range w.jobs[id].beside {
-		if n >= mayGiveUp {
+	for _, n := range w.jobs[id].crashesUnder {
+		if n >= giveUpCrashes {
 			return true
 		}
 	}
--- a/standin/world/feed.go
+++ b/standin/world/feed.go
@@ -14,10 +14,10 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// operatorsAt is where operators write, and toldAt where they read.
+// Partitions that the operators write and read.
 var (
-	operatorsAt = port.Partition{Topic: "model.operators"}
-	toldAt      = port.Partition{Topic: "model.told"}
+	operatorsPartition = port.Partition{Topic: "model.operators"}
+	wavesPartition     = port.Partition{Topic: "model.told"}
 )
 
 const (
@@ -25,8 +25,8 @@
 	keyWave   = "wave"
 )
 
-// written is a configuration as an operator writes it here.
-type written struct {
+// configRecord is a configuration as the model's operators write it.
+type configRecord struct {
 	Version   uint64
 	Queues    []config.Queue
 	Pools     []config.Pool
@@ -39,7 +39,7 @@
 func encode(v any) []byte {
 	data, err := codec.Marshal(v)
 	if err != nil {
-		panic(err) // the types above can be encoded
+		panic(err) // all types passed to encode can be encoded
 	}
 	return data
 }
@@ -50,26 +50,26 @@
 	w.setLimits(customers)
 	w.mu.Unlock()
 	limits := config.Limits{BodyBytes: 1 << 20, HeaderBytes: 1 << 14}
-	w.Write(operatorsAt, port.Record{Key: keyConfig, Value: encode(written{version, queues, pools, limits, customers})})
+	w.Write(operatorsPartition, port.Record{Key: keyConfig, Value: encode(configRecord{version, queues, pools, limits, customers})})
 }
 
 // RequestWave writes a wave as an operator.
 func (w *World) RequestWave(v wave.Wave) {
 	w.mu.Lock()
-	w.waves[v.Number] = &waveWork{v.MaxConcurrent, v.Instances, make(map[string]bool)}
+	w.waves[v.Number] = &waveState{v.MaxConcurrent, v.Instances, make(map[string]bool)}
 	w.mu.Unlock()
-	w.Write(operatorsAt, port.Record{Key: keyWave, Value: encode(v)})
+	w.Write(operatorsPartition, port.Record{Key: keyWave, Value: encode(v)})
 }
 
-// Feeds returns what operators and workers write, as the services read it.
+// Feeds returns the records that operators and workers write, as the services read them.
 func (w *World) Feeds() port.Feeds {
 	return port.Feeds{
-		Operators: operatorsAt, Workers: workersAt,
+		Operators: operatorsPartition, Workers: workersPartition,
 		DecodeConfig: func(r port.Record) (*config.Config, error) {
 			if r.Key != keyConfig {
 				return nil, nil
 			}
-			var c written
+			var c configRecord
 			err := codec.Unmarshal(r.Value, &c)
 			return config.New(c.Version, c.Queues, c.Pools, c.Limits).WithCustomers(c.Customers), err
 		},
@@ -88,27 +88,27 @@
 			if done {
 				w.checkWave(number)
 			}
-			return s.Put(ctx, toldAt, []port.Record{{Key: strconv.Itoa(number), Value: encode(done)}})
+			return s.Put(ctx, wavesPartition, []port.Record{{Key: strconv.Itoa(number), Value: encode(done)}})
 		},
 	}
 }
 
-// WaveReported reports whether a wave was told as done.
+// WaveReported reports whether a wave was reported as done.
 func (w *World) WaveReported(number int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var done bool
-	r, told := w.partition(toldAt).newest[strconv.Itoa(number)]
-	return told && codec.Unmarshal(r.Value, &done) == nil && done
+	r, found := w.partition(wavesPartition).newest[strconv.Itoa(number)]
+	return found && codec.Unmarshal(r.Value, &done) == nil && done
 }
 
-// checkWave checks that a wave that is said to be done is.
+// checkWave checks that a wave that is reported as done is done.
 func (w *World) checkWave(number int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, name := range w.waves[number].asked {
-		if w.instances[name] != nil && !w.waves[number].begun[name] {
-			w.broken("MIXED: wave %d is told as done and %s has not begun", number, name)
+	for _, name := range w.waves[number].instances {
+		if w.instances[name] != nil && !w.waves[number].started[name] {
+			w.violation("MIXED: wave %d is reported as done and %s has not started", number, name)
 		}
 	}
 }
--- a/standin/world/instance.go
+++ b/standin/world/instance.go
@@ -22,21 +22,21 @@
 	condition port.Condition
 	labels    []string
 	capacity  job.Size
-	life      worker.ID // "" while it is off or down
-	wave      int       // that it is down for
-	token     uint64    // highest seen
+	workerID  worker.ID // "" while it is off or down
+	wave      int       // the wave for which it is down
+	token     uint64    // highest token seen
 	holder    string
 	ordered   time.Time
 }
 
-// waveWork is what was done for a wave.
-type waveWork struct {
-	atOnce int
-	asked  []string
-	begun  map[string]bool
+// waveState is a wave and the progress of its maintenance.
+type waveState struct {
+	maxConcurrent int
+	instances     []string
+	started       map[string]bool
 }
 
-// The times of orders to instances.
+// Durations of orders to instances.
 const (
 	instanceTime = 5 * time.Millisecond
 	moveTime     = 1500 * time.Millisecond
@@ -48,7 +48,7 @@
 	return &instance{name: name, labels: []string{"a", rack}, capacity: capacity}
 }
 
-// AddInstance adds an instance that is off, in the pool of those.
+// AddInstance adds an instance that is off, in the pool of such instances.
 func (w *World) AddInstance(name, pool, rack string, capacity job.Size) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -57,14 +57,14 @@
 	w.instances[name] = i
 }
 
-// MaintenanceStarted returns the instances whose maintenance for a wave has begun.
+// MaintenanceStarted returns the instances whose maintenance for a wave has started.
 func (w *World) MaintenanceStarted(number int) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Sorted(maps.Keys(w.waves[number].begun))
+	return slices.Sorted(maps.Keys(w.waves[number].started))
 }
 
-// Instances returns the control of instances.
+// Instances returns the instance API.
 func (w *World) Instances() port.Instances {
 	return port.Instances{
 		List: func(context.Context) ([]port.Instance, error) {
@@ -73,37 +73,37 @@
 		},
 		Move: func(ctx context.Context, p port.Issuer, name, pool string) error {
 			time.Sleep(instanceTime)
-			return w.answerOrder(ctx, w.moveInstance(p, name, pool))
+			return w.orderResult(ctx, w.moveInstance(p, name, pool))
 		},
 		Maintain: func(ctx context.Context, p port.Issuer, name string, wave int) error {
 			time.Sleep(instanceTime)
-			return w.answerOrder(ctx, w.maintainInstance(p, name, wave))
+			return w.orderResult(ctx, w.maintainInstance(p, name, wave))
 		},
 	}
 }
 
-// LoseOrderResponses lets a share of the orders to instances be done and get no answer.
+// LoseOrderResponses makes the responses to a share of the orders to instances get lost;
+// the orders are applied.
 func (w *World) LoseOrderResponses(share float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ordersLost = share
+	w.lostOrderShare = share
 }
 
-// answerOrder returns the outcome of an order to an instance unless its answer is
-// lost.
-func (w *World) answerOrder(ctx context.Context, err error) error {
+// orderResult returns the result of an order to an instance unless its response is lost.
+func (w *World) orderResult(ctx context.Context, err error) error {
 	w.mu.Lock()
-	lost := w.random.Float64() < w.ordersLost
+	lost := w.random.Float64() < w.lostOrderShare
 	w.mu.Unlock()
 	if lost {
-		return silence(ctx, orderSilence)
+		return noResponse(ctx, instanceOrderTimeout)
 	}
 	return err
 }
 
-// orderSilence is how long a holder waits for the answer to an order to an
+// instanceOrderTimeout is how long a role holder waits for the response to an order to an
 // instance.
-const orderSilence = 2 * time.Second
+const instanceOrderTimeout = 2 * time.Second
 
 func (w *World) listInstances() []port.Instance {
 	w.mu.Lock()
@@ -112,19 +112,19 @@
 	for _, n := range slices.Sorted(maps.Keys(w.instances)) {
 		i := w.instances[n]
 		list = append(list, port.Instance{
-			Name: i.name, Pool: i.pool, Condition: i.condition, Labels: i.labels, Capacity: i.capacity, Worker: i.life,
+			Name: i.name, Pool: i.pool, Condition: i.condition, Labels: i.labels, Capacity: i.capacity, Worker: i.workerID,
 		})
 	}
 	return list
 }
 
-// permitted checks who gives an order to an instance. The lock is held.
-func (w *World) permitted(i *instance, p port.Issuer) {
+// checkIssuer checks who issues an order to an instance. The caller holds w.mu.
+func (w *World) checkIssuer(i *instance, p port.Issuer) {
 	if p.Token < i.token {
-		w.broken("ONE: a token %d after %d for %s", p.Token, i.token, i.name)
+		w.violation("ONE: token %d after %d for %s", p.Token, i.token, i.name)
 	}
 	if i.holder != "" && i.holder != p.Holder && time.Since(i.ordered) < holderLease {
-		w.broken("ONE: %s orders %s %s after %s", p.Holder, i.name, time.Since(i.ordered), i.holder)
+		w.violation("ONE: %s orders %s %s after %s", p.Holder, i.name, time.Since(i.ordered), i.holder)
 	}
 	i.token, i.holder, i.ordered = max(i.token, p.Token), p.Holder, time.Now()
 }
@@ -136,7 +136,7 @@
 	if i == nil {
 		return errkind.New(errkind.NotFound, "no instance %s", name)
 	}
-	w.permitted(i, p)
+	w.checkIssuer(i, p)
 	if i.pool == pool {
 		return nil
 	}
@@ -145,7 +145,7 @@
 	}
 	w.takeDown(i, port.Moving)
 	i.pool = pool
-	time.AfterFunc(moveTime, func() { w.back(i) })
+	time.AfterFunc(moveTime, func() { w.restore(i) })
 	return nil
 }
 
@@ -156,8 +156,8 @@
 	if i == nil || work == nil {
 		return errkind.New(errkind.NotFound, "no instance %s or wave %d", name, number)
 	}
-	w.permitted(i, p)
-	if work.begun[name] {
+	w.checkIssuer(i, p)
+	if work.started[name] {
 		return nil
 	}
 	if i.condition != port.Up || w.draining(i) {
@@ -169,47 +169,47 @@
 			down++
 		}
 	}
-	if down >= work.atOnce {
-		w.broken("LIMIT: %s is taken down beside %d others", name, down)
+	if down >= work.maxConcurrent {
+		w.violation("LIMIT: %s is taken down while %d others are down", name, down)
 	}
-	work.begun[name] = true
+	work.started[name] = true
 	i.wave = number
 	w.takeDown(i, port.Maintenance)
-	time.AfterFunc(repairTime, func() { w.back(i) })
+	time.AfterFunc(repairTime, func() { w.restore(i) })
 	return nil
 }
 
-// draining reports whether an instance is about to leave. The lock is held.
+// draining reports whether an instance is about to be removed. The caller holds w.mu.
 func (w *World) draining(i *instance) bool {
-	o := w.workers[i.life]
+	o := w.workers[i.workerID]
 	return o != nil && o.info.Draining
 }
 
-// takeDown ends the life of an instance by an order. The lock is held.
+// takeDown ends the incarnation of an instance by an order. The caller holds w.mu.
 func (w *World) takeDown(i *instance, c port.Condition) {
-	if o := w.workers[i.life]; o != nil {
+	if o := w.workers[i.workerID]; o != nil {
 		for _, r := range o.runs {
-			w.stopped("", o, r)
+			w.checkStop("", o, r)
 			r.stopping = true
 		}
 		o.end()
 		o.breakGangs()
-		id := i.life
-		time.AfterFunc(repairTime, func() { w.unlist(id) })
+		id := i.workerID
+		time.AfterFunc(repairTime, func() { w.removeEntry(id) })
 	}
-	i.condition, i.life = c, ""
+	i.condition, i.workerID = c, ""
 }
 
 // Headroom is the name of the pool whose instances are off.
 const Headroom = "headroom"
 
-// back brings an instance up again.
-func (w *World) back(i *instance) {
+// restore brings an instance up again.
+func (w *World) restore(i *instance) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if i.pool == Headroom {
 		i.condition = port.Up
 		return
 	}
-	w.bringUp(i, i.pool)
+	w.startWorker(i, i.pool)
 }
--- a/standin/world/limit.go
+++ b/standin/world/limit.go
@@ -10,54 +10,56 @@
 	"github.com/yardbridge/yardbridge/models/job"
 )
 
-// applyTime is within which a configuration is in force everywhere.
+// applyTime is the time within which a configuration takes effect everywhere.
 const applyTime = 3 * time.Second
 
-// setLimit is a limit of a customer, and since when there is a newer one.
-type setLimit struct {
-	size     job.Size
-	replaced time.Time // zero for the newest
+// customerLimit is a limit of a customer and when it was replaced.
+type customerLimit struct {
+	size       job.Size
+	replacedAt time.Time // zero for the newest
 }
 
-// mayBeInForce reports whether a limit may be: nodes that could not read the configuration
-// go by the one they know. The lock is held.
-func (w *World) mayBeInForce(l setLimit) bool {
-	return l.replaced.IsZero() || time.Since(l.replaced) < applyTime || w.mayBeUnread(l.replaced)
+// mayBeInForce reports whether a node may still apply a limit: nodes that could not read
+// the configuration apply the last one they know. The caller holds w.mu.
+func (w *World) mayBeInForce(l customerLimit) bool {
+	return l.replacedAt.IsZero() || time.Since(l.replacedAt) < applyTime || w.mayBeUnread(l.replacedAt)
 }
 
-// mayBeUnread reports whether a node may not know yet what was written at a time: it can't read
-// the store, or could not until a moment ago. The lock is held.
+// mayBeUnread reports whether a node may not have read yet what was written at the given
+// time, because it cannot read the store, or could not until recently. The caller holds
+// w.mu.
 func (w *World) mayBeUnread(since time.Time) bool {
-	if time.Since(w.unread) < applyTime && since.Before(w.unread) {
+	if time.Since(w.unreadUntil) < applyTime && since.Before(w.unreadUntil) {
 		return true
 	}
 	for _, f := range w.faults {
-		if f.storeless() {
+		if f.withoutStore() {
 			return true
 		}
 	}
 	return false
 }
 
-// storeless reports whether a node can't read the store, or learn from others what it says.
-func (f *Faults) storeless() bool { return f.StoreUnresponsive || f.StoreUnavailable || f.PeersCut }
+// withoutStore reports whether a node can neither read the store nor learn its content from
+// other nodes.
+func (f *Faults) withoutStore() bool { return f.StoreUnresponsive || f.StoreUnavailable || f.PeersCut }
 
-// setLimits takes the limits of a configuration. The lock is held.
+// setLimits applies the limits of a configuration. The caller holds w.mu.
 func (w *World) setLimits(customers []config.Customer) {
 	if w.limits == nil {
-		w.limits = make(map[string][]setLimit)
+		w.limits = make(map[string][]customerLimit)
 	}
 	for _, c := range customers {
 		list := w.limits[c.Name]
 		if n := len(list); n > 0 {
-			list[n-1].replaced = time.Now()
+			list[n-1].replacedAt = time.Now()
 		}
-		w.limits[c.Name] = append(list, setLimit{size: c.Limit})
+		w.limits[c.Name] = append(list, customerLimit{size: c.Limit})
 	}
 }
 
-// limit returns the highest limit of a customer that may be in force, by its parts, of which
-// 0 is none. The lock is held.
+// limit returns the highest limit of a customer that may be in force, per resource; 0 means
+// no limit. The caller holds w.mu.
 func (w *World) limit(customer string) job.Size {
 	var most job.Size
 	var none job.Size
@@ -78,22 +80,22 @@
 	return 0
 }
 
-// Usage returns what a customer has running, over all workers.
+// Usage returns what a customer has running on all workers.
 func (w *World) Usage(customer string) job.Size {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.using(customer)
+	return w.usage(customer)
 }
 
-func (w *World) using(customer string) job.Size {
+func (w *World) usage(customer string) job.Size {
 	var used job.Size
 	for _, o := range w.workers {
-		if o.over {
+		if o.gone {
 			continue
 		}
-		o.lapse() // its timer may be late
+		o.expireLease() // its timer may fire late
 		for name, r := range o.runs {
-			if ref, _ := job.ParseTask(name); w.jobs[ref.Job] != nil && w.jobs[ref.Job].sub.Customer == customer {
+			if ref, _ := job.ParseTask(name); w.jobs[ref.Job] != nil && w.jobs[ref.Job].submission.Customer == customer {
 				used = used.Plus(r.step.Size)
 			}
 		}
@@ -101,14 +103,15 @@
 	return used
 }
 
-// checkLimit checks that a start does not take its customer over a limit. The lock is held.
-func (w *World) checkLimit(node string, j *submitted, step *job.Step, task string) {
-	customer := j.sub.Customer
+// checkLimit checks that a start does not take its customer over its limit. The caller
+// holds w.mu.
+func (w *World) checkLimit(node string, j *jobRecord, step *job.Step, task string) {
+	customer := j.submission.Customer
 	if customer == "" {
 		return
 	}
-	limit, used := w.limit(customer), w.using(customer).Plus(step.Size)
+	limit, used := w.limit(customer), w.usage(customer).Plus(step.Size)
 	if limit.CPU > 0 && used.CPU > limit.CPU || limit.MemoryMB > 0 && used.MemoryMB > limit.MemoryMB || limit.Accelerators > 0 && used.Accelerators > limit.Accelerators {
-		w.broken("QUOTA: %s starts %s of %s, which then uses %v of %v", node, task, customer, used, limit)
+		w.violation("QUOTA: %s starts %s of %s, which then uses %v of %v", node, task, customer, used, limit)
 	}
 }
--- a/standin/world/link.go
+++ b/standin/world/link.go
@@ -15,7 +15,7 @@
 func (w *World) Workers(node string) port.Workers {
 	return port.Workers{Open: func(info worker.Worker) *port.Link {
 		l := &nodeLink{w, node, info.ID}
-		return &port.Link{Start: l.start, Stop: l.stop, SetCPUShare: l.pace, Poll: l.look, Close: func() {}}
+		return &port.Link{Start: l.start, Stop: l.stop, SetCPUShare: l.setCPUShare, Poll: l.poll, Close: func() {}}
 	}}
 }
 
@@ -26,7 +26,7 @@
 	id   worker.ID
 }
 
-// order carries an order out and returns its answer.
+// order applies an order and returns the response.
 func (l *nodeLink) order(ctx context.Context, token uint64, do func(o *Worker) port.Result) port.Response {
 	select {
 	case <-time.After(orderTime):
@@ -35,7 +35,7 @@
 	l.w.mu.Lock()
 	o := l.w.workers[l.id]
 	cut := l.w.fault(l.node).WorkersCut || o.Unresponsive
-	if o.over && !cut {
+	if o.gone && !cut {
 		defer l.w.mu.Unlock()
 		return port.Response{Result: port.Unreachable}
 	}
@@ -43,45 +43,46 @@
 		switch {
 		case cut:
 		case o.DefersOrders:
-			o.unheard = append(o.unheard, func() { l.w.workers[l.id].take(token, do) })
+			o.deferred = append(o.deferred, func() { l.w.workers[l.id].apply(token, do) })
 		default:
-			time.AfterFunc(o.OrderDelay, func() { l.w.carryOut(o, token, do) })
+			time.AfterFunc(o.OrderDelay, func() { l.w.applyLate(o, token, do) })
 		}
 		l.w.mu.Unlock()
-		_ = silence(ctx, callTimeout)
+		_ = noResponse(ctx, callTimeout)
 		return port.Response{Result: port.Unknown}
 	}
 	defer l.w.mu.Unlock()
-	return o.take(token, do)
+	return o.apply(token, do)
 }
 
-// carryOut carries a late order out, at the life that the worker's id has by then. One of which
-// nobody could have told another life anything waits until some other order has come there.
-func (w *World) carryOut(sentTo *Worker, token uint64, do func(o *Worker) port.Result) {
+// applyLate applies a delayed order to the incarnation that the worker's id has by then. If
+// that is another one which has not received any order yet, the order waits until the first
+// one arrives there.
+func (w *World) applyLate(sentTo *Worker, token uint64, do func(o *Worker) port.Result) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	o := w.workers[sentTo.info.ID]
 	switch {
-	case o.over:
+	case o.gone:
 	case o != sentTo && o.token == 0:
-		o.early = append(o.early, func() { o.take(token, do) })
+		o.earlyOrders = append(o.earlyOrders, func() { o.apply(token, do) })
 	default:
-		o.take(token, do)
+		o.apply(token, do)
 	}
 }
 
-// take carries an order out unless a higher token was seen. The lock is held.
-func (o *Worker) take(token uint64, do func(o *Worker) port.Result) port.Response {
-	o.lapse()
+// apply applies an order unless a higher token was seen. The caller holds w.mu.
+func (o *Worker) apply(token uint64, do func(o *Worker) port.Result) port.Response {
+	o.expireLease()
 	if token < o.token {
 		return port.Response{Result: port.TokenTooLow, Clock: o.clock()}
 	}
 	o.token = token
 	a := port.Response{Result: do(o), Clock: o.clock()}
-	early := o.early
-	o.early = nil
-	for _, carryOut := range early {
-		carryOut()
+	earlyOrders := o.earlyOrders
+	o.earlyOrders = nil
+	for _, applyEarly := range earlyOrders {
+		applyEarly()
 	}
 	return a
 }
@@ -90,7 +91,7 @@
 	return l.order(ctx, s.Token, func(o *Worker) port.Result { return o.startRun(l.node, s) })
 }
 
-// startRun begins a run. The lock is held.
+// startRun starts a run. The caller holds w.mu.
 func (o *Worker) startRun(node string, s port.Start) port.Result {
 	if s.Deadline <= o.clock() {
 		return port.DeadlinePassed
@@ -100,34 +101,34 @@
 	switch {
 	case r != nil && r.number == s.Number:
 		return port.Accepted
-	case r != nil, s.Number <= o.ended[s.Task]:
+	case r != nil, s.Number <= o.lastEnded[s.Task]:
 		return port.Outdated
 	}
-	if !o.w.admitted(o, s) {
+	if !o.w.validTicket(o, s) {
 		return port.BadTicket
 	}
-	step, room := o.w.started(node, o, s)
-	takes := step.Estimate
+	step, size := o.w.checkStart(node, o, s)
+	duration := step.Estimate
 	if step.LongRunning {
-		takes = lastingTime
+		duration = lastingTime
 	}
-	r = &running{task: s.Task, number: s.Number, spec: s.Spec, room: room, began: time.Now(), left: takes, takes: takes, counted: time.Now(), step: step, pace: whole}
+	r = &running{task: s.Task, number: s.Number, spec: s.Spec, size: size, startedAt: time.Now(), remaining: duration, duration: duration, countedAt: time.Now(), step: step, cpuShare: fullPercent}
 	o.runs[s.Task] = r
 	r.timer = time.AfterFunc(time.Hour, func() {})
 	o.schedule(r)
 	if crashes(s) {
-		time.AfterFunc(crashAfter, func() { o.w.crashUnder(o.info.ID, s.Task) })
+		time.AfterFunc(crashAfter, func() { o.w.crashByTask(o.info.ID, s.Task) })
 	}
 	return port.Accepted
 }
 
-// leaseMost is the longest lease that a worker adopts; a longer one is cut to it.
-const leaseMost = 10 * time.Second
+// maxLease is the longest lease that a worker accepts; a longer one is shortened to it.
+const maxLease = 10 * time.Second
 
-// extend adopts a deadline, and has what runs end once it is over. The lock is
-// held.
+// extend extends the lease to a deadline and makes the runs end when it expires. The caller
+// holds w.mu.
 func (o *Worker) extend(deadline time.Duration) {
-	deadline = min(deadline, o.clock()+leaseMost)
+	deadline = min(deadline, o.clock()+maxLease)
 	if deadline <= o.lease {
 		return
 	}
@@ -135,8 +136,8 @@
 	time.AfterFunc(deadline-o.clock()+time.Millisecond, func() {
 		o.w.mu.Lock()
 		defer o.w.mu.Unlock()
-		if !o.over {
-			o.lapse()
+		if !o.gone {
+			o.expireLease()
 		}
 	})
 }
@@ -145,22 +146,22 @@
 	return l.order(ctx, s.Token, func(o *Worker) port.Result {
 		r := o.runs[s.Task]
 		if r == nil || r.number != s.Number {
-			o.ended[s.Task] = max(o.ended[s.Task], s.Number)
+			o.lastEnded[s.Task] = max(o.lastEnded[s.Task], s.Number)
 			return port.Accepted
 		}
 		if !r.stopping {
 			r.stopping = true
-			o.w.stopped(l.node, o, r)
+			o.w.checkStop(l.node, o, r)
 			time.AfterFunc(stopTime, func() { o.finish(r, worker.Stopped) })
 		}
 		return port.Accepted
 	})
 }
 
-func (l *nodeLink) pace(ctx context.Context, p port.CPUShare) port.Response {
+func (l *nodeLink) setCPUShare(ctx context.Context, p port.CPUShare) port.Response {
 	return l.order(ctx, p.Token, func(o *Worker) port.Result {
 		if r := o.runs[p.Task]; r != nil && r.number == p.Number {
-			r.pace = p.Percent
+			r.cpuShare = p.Percent
 			o.checkHarm()
 			return port.Accepted
 		}
@@ -168,10 +169,10 @@
 	})
 }
 
-func (l *nodeLink) look(ctx context.Context, k port.Poll) (worker.PollResult, port.Response) {
-	listing, a := l.list(ctx, k.Token, func(o *Worker) {
+func (l *nodeLink) poll(ctx context.Context, k port.Poll) (worker.PollResult, port.Response) {
+	listing, a := l.pollOnce(ctx, k.Token, func(o *Worker) {
 		o.extend(k.Deadline)
-		o.forget(k.Acknowledged)
+		o.dropEnds(k.Acknowledged)
 	})
 	if a.Result != port.Accepted || len(listing.Ends) > 0 || k.Wait == 0 {
 		return listing, a
@@ -185,39 +186,39 @@
 	case <-time.After(k.Wait):
 	case <-ctx.Done():
 	}
-	return l.list(ctx, k.Token, func(*Worker) {})
+	return l.pollOnce(ctx, k.Token, func(*Worker) {})
 }
 
-// list carries an order out that is answered with a listing.
-func (l *nodeLink) list(ctx context.Context, token uint64, do func(o *Worker)) (worker.PollResult, port.Response) {
-	var taken worker.PollResult // may be written late, where there is no answer
+// pollOnce applies an order whose response is a poll result.
+func (l *nodeLink) pollOnce(ctx context.Context, token uint64, do func(o *Worker)) (worker.PollResult, port.Response) {
+	var result worker.PollResult // may be written late, if there was no response
 	a := l.order(ctx, token, func(o *Worker) port.Result {
 		do(o)
-		taken = o.listing()
+		result = o.pollResult()
 		return port.Accepted
 	})
 	if a.Result != port.Accepted {
 		return worker.PollResult{Clock: a.Clock}, a
 	}
-	taken.Clock = a.Clock
-	return taken, a
+	result.Clock = a.Clock
+	return result, a
 }
 
-// forget drops ends that were taken note of. The lock is held.
-func (o *Worker) forget(seen int) {
-	for len(o.ends) > 0 && o.ends[0].Sequence <= seen {
-		if o.ends[0].Sequence > o.void {
-			o.w.noted(o.ends[0])
+// dropEnds drops acknowledged ends. The caller holds w.mu.
+func (o *Worker) dropEnds(acknowledged int) {
+	for len(o.ends) > 0 && o.ends[0].Sequence <= acknowledged {
+		if o.ends[0].Sequence > o.voidEnds {
+			o.w.acknowledge(o.ends[0])
 		}
 		o.ends = o.ends[1:]
 	}
 }
 
-// listing returns what runs and what has ended. The lock is held.
-func (o *Worker) listing() worker.PollResult {
+// pollResult returns what runs and what has ended. The caller holds w.mu.
+func (o *Worker) pollResult() worker.PollResult {
 	l := worker.PollResult{StartedAt: o.info.StartedAt}
 	for _, r := range o.runs {
-		l.Runs = append(l.Runs, worker.Run{Task: r.task, Number: r.number, Percent: o.percent(r), Load: int(o.tail(r).Milliseconds())})
+		l.Runs = append(l.Runs, worker.Run{Task: r.task, Number: r.number, Percent: o.percent(r), Load: int(o.tailLatency(r).Milliseconds())})
 	}
 	o.checkHarm()
 	l.Ends = append(l.Ends, o.ends...)
--- a/standin/world/network.go
+++ b/standin/world/network.go
@@ -13,14 +13,14 @@
 	"github.com/juju/errors"
 )
 
-// network connects nodes in memory. Their addresses are their names and a port.
+// network connects nodes in memory. An address is a node's name and a port.
 type network struct {
-	mu        sync.Mutex
-	listeners map[string]*listener
-	silences  atomic.Int64 // how often all connections have fallen silent
+	mu         sync.Mutex
+	listeners  map[string]*listener
+	blackholes atomic.Int64 // how often all connections were blackholed
 }
 
-// listener takes the connections to one address.
+// listener accepts the connections to one address.
 type listener struct {
 	w       *World
 	address string
@@ -29,13 +29,13 @@
 	once    sync.Once
 }
 
-// BlackholeConnections lets all connections between nodes that are open fall silent for good: what
-// is sent on them is lost, and no end of them is told. New ones work.
-func (w *World) BlackholeConnections() { w.networks.silences.Add(1) }
+// BlackholeConnections makes all open connections between nodes lose everything that is
+// sent on them from now on, without reporting an error to either end. New connections work.
+func (w *World) BlackholeConnections() { w.network.blackholes.Add(1) }
 
 // Listen opens an address.
 func (w *World) Listen(address string) (net.Listener, error) {
-	n := &w.networks
+	n := &w.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := &listener{w: w, address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
@@ -46,7 +46,7 @@
 	return l, nil
 }
 
-// Dial returns a node's way to connect to others.
+// Dial returns the dial function of a node.
 func (w *World) Dial(node string) func(ctx context.Context, address string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) { return w.dial(ctx, node, address) }
 }
@@ -57,24 +57,24 @@
 		<-ctx.Done()
 		return nil, errors.Trace(ctx.Err())
 	}
-	w.networks.mu.Lock()
-	l := w.networks.listeners[address]
-	w.networks.mu.Unlock()
+	w.network.mu.Lock()
+	l := w.network.listeners[address]
+	w.network.mu.Unlock()
 	if l == nil {
-		return nil, errors.Errorf("%s refuses", address)
+		return nil, errors.Errorf("%s refuses the connection", address)
 	}
 	near, far := net.Pipe()
-	dead := new(atomic.Bool)
+	blackholed := new(atomic.Bool)
 	select {
-	case l.conns <- &conn{far, w, node, to, dead, w.networks.silences.Load()}:
-		return &conn{near, w, node, to, dead, w.networks.silences.Load()}, nil
+	case l.conns <- &conn{far, w, node, to, blackholed, w.network.blackholes.Load()}:
+		return &conn{near, w, node, to, blackholed, w.network.blackholes.Load()}, nil
 	case <-l.closed:
 	case <-ctx.Done():
 	}
-	return nil, errors.Errorf("%s refuses", address)
+	return nil, errors.Errorf("%s refuses the connection", address)
 }
 
-// cut reports whether nothing passes between two nodes.
+// cut reports whether the connection between two nodes is cut.
 func (w *World) cut(a, b string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -91,14 +91,14 @@
 	}
 }
 
-// Close ends the listening.
+// Close closes the listener.
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
-		l.w.networks.mu.Lock()
-		defer l.w.networks.mu.Unlock()
-		if l.w.networks.listeners[l.address] == l {
-			delete(l.w.networks.listeners, l.address)
+		l.w.network.mu.Lock()
+		defer l.w.network.mu.Unlock()
+		if l.w.network.listeners[l.address] == l {
+			delete(l.w.network.listeners, l.address)
 		}
 	})
 	return nil
@@ -112,22 +112,21 @@
 func (a address) Network() string { return "model" }
 func (a address) String() string  { return string(a) }
 
-// conn is a connection through which nothing passes any more once something was
-// sent while one of its nodes was cut off: what is lost on a stream is lost with
-// all that follows.
+// conn is a connection that passes nothing any more once something was sent while one of
+// its nodes was cut off: on a stream, everything that follows lost bytes is lost too.
 type conn struct {
 	net.Conn
-	w    *World
-	a, b string
-	dead *atomic.Bool
-	born int64 // how often connections had fallen silent when it was opened
+	w                *World
+	a, b             string
+	blackholed       *atomic.Bool
+	blackholesAtOpen int64 // how often connections had been blackholed when it was opened
 }
 
-// Write writes, or takes what then gets lost: it must not wait, since the caller
-// holds a lock that no fake clock can wait on.
+// Write writes the bytes, or discards them if they are lost. It must not block, because the
+// caller holds a lock that the fake clock cannot wait on.
 func (c *conn) Write(p []byte) (int, error) {
-	if c.dead.Load() || c.w.cut(c.a, c.b) || c.w.networks.silences.Load() > c.born {
-		c.dead.Store(true)
+	if c.blackholed.Load() || c.w.cut(c.a, c.b) || c.w.network.blackholes.Load() > c.blackholesAtOpen {
+		c.blackholed.Store(true)
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
--- a/standin/world/restart.go
+++ b/standin/world/restart.go
@@ -10,56 +10,57 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// The luck of a worker that starts again.
+// Random behaviour of a worker that restarts.
 const (
-	listedLate = 2 * time.Second // the longest until it has written its entry, half of the times
-	clockJump  = time.Minute     // the furthest back that its machine's time of day has jumped, a quarter of the times
+	listedLate = 2 * time.Second // the longest delay until it has written its entry, in half of the cases
+	clockJump  = time.Minute     // the furthest that the machine's wall clock is set back, in a quarter of the cases
 )
 
-// RestartWithSameID has workers that crash come back under the id that they had, from now on,
-// and all workers tell when they have started.
+// RestartWithSameID makes workers that crash restart under the id that they had, from now
+// on, and makes all workers report their start time.
 func (w *World) RestartWithSameID() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.reborn = true
+	w.sameIDRestarts = true
 	for _, o := range w.workers {
-		o.info.StartedAt = o.began.UnixMilli()
-		w.list(o)
+		o.info.StartedAt = o.startedAt.UnixMilli()
+		w.writeEntry(o)
 	}
 }
 
-// startAgain brings a worker that has crashed up under its id, and reports whether it does.
-func (w *World) startAgain(before *Worker) bool {
+// restartWithSameID restarts a crashed worker under its id, and reports whether it did.
+func (w *World) restartWithSameID(previous *Worker) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	i := w.instances[before.info.Instance]
-	if !w.reborn || i == nil || i.pool != before.info.Pool || i.condition != port.Down {
+	i := w.instances[previous.info.Instance]
+	if !w.sameIDRestarts || i == nil || i.pool != previous.info.Pool || i.condition != port.Down {
 		return false
 	}
-	w.past = append(w.past, before)
-	o := w.begin(i, i.pool, before.info.ID)
-	o.unheard, o.DefersOrders = before.unheard, before.DefersOrders
+	w.pastWorkers = append(w.pastWorkers, previous)
+	o := w.startIncarnation(i, i.pool, previous.info.ID)
+	o.deferred, o.DefersOrders = previous.deferred, previous.DefersOrders
 	if w.random.IntN(4) == 0 {
 		o.info.StartedAt -= w.random.Int64N(clockJump.Milliseconds())
 	}
-	if o.info.StartedAt == before.info.StartedAt {
+	if o.info.StartedAt == previous.info.StartedAt {
 		o.info.StartedAt++
 	}
 	late := time.Duration(0)
 	if w.random.IntN(2) == 0 {
 		late = time.Duration(w.random.Int64N(int64(listedLate)))
 	}
-	time.AfterFunc(late, func() { w.relistLiving(o.info.ID) })
+	time.AfterFunc(late, func() { w.refreshEntry(o.info.ID) })
 	return true
 }
 
-// relistLiving has a worker write its entry again, or removes that of one that is gone.
-func (w *World) relistLiving(id worker.ID) {
+// refreshEntry makes a worker write its entry again, or removes the entry of one that is
+// gone.
+func (w *World) refreshEntry(id worker.ID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if o := w.workers[id]; !o.over {
-		w.list(o)
+	if o := w.workers[id]; !o.gone {
+		w.writeEntry(o)
 		return
 	}
-	w.partition(workersAt).add([]port.Record{{Key: string(id)}})
+	w.partition(workersPartition).add([]port.Record{{Key: string(id)}})
 }
--- a/standin/world/running.go
+++ b/standin/world/running.go
@@ -11,78 +11,79 @@
 	"github.com/yardbridge/yardbridge/models/worker"
 )
 
-// running is a run under way.
+// running is a run in progress.
 type running struct {
-	task     string
-	number   int
-	spec     string
-	room     job.Size
-	began    time.Time
-	left     time.Duration // of its work, when it was counted last
-	counted  time.Time
-	takes    time.Duration
-	stopping bool
-	step     *job.Step
-	pace     int // percent
-	timer    *time.Timer
+	task      string
+	number    int
+	spec      string
+	size      job.Size
+	startedAt time.Time
+	remaining time.Duration // work that was left at countedAt
+	countedAt time.Time
+	duration  time.Duration
+	stopping  bool
+	step      *job.Step
+	cpuShare  int // percent
+	timer     *time.Timer
 }
 
-// count takes what a run has done at the speed of now. The lock is held.
-func (o *Worker) count(r *running) {
-	done := time.Duration(float64(time.Since(r.counted)) * o.speed())
-	r.left, r.counted = max(r.left-done, 0), time.Now()
+// advance accounts for the work done since the last call, at the current speed. The caller
+// holds w.mu.
+func (o *Worker) advance(r *running) {
+	done := time.Duration(float64(time.Since(r.countedAt)) * o.speed())
+	r.remaining, r.countedAt = max(r.remaining-done, 0), time.Now()
 }
 
-// schedule has a run end when its work is done at the speed of now. The lock is
-// held.
+// schedule makes a run end when its work is done at the current speed. The caller holds
+// w.mu.
 func (o *Worker) schedule(r *running) {
 	if r.timer != nil {
 		r.timer.Stop()
 	}
-	o.count(r)
+	o.advance(r)
 	if r.stopping || o.speed() == 0 {
 		return
 	}
-	how := worker.Done
+	reason := worker.Done
 	if o.FailsRuns || strings.Contains(r.spec, "poison") {
-		how = worker.Failed
+		reason = worker.Failed
 	}
 	if strings.Contains(r.spec, "lasts") {
 		return
 	}
-	r.timer = time.AfterFunc(time.Duration(float64(r.left)/o.speed()), func() { o.finish(r, how) })
+	r.timer = time.AfterFunc(time.Duration(float64(r.remaining)/o.speed()), func() { o.finish(r, reason) })
 }
 
 // finish ends a run.
-func (o *Worker) finish(r *running, how worker.EndReason) {
+func (o *Worker) finish(r *running, reason worker.EndReason) {
 	o.w.mu.Lock()
 	defer o.w.mu.Unlock()
-	o.finishLocked(r, how)
+	o.finishLocked(r, reason)
 }
 
-func (o *Worker) finishLocked(r *running, how worker.EndReason) {
-	if o.over || o.runs[r.task] != r {
+func (o *Worker) finishLocked(r *running, reason worker.EndReason) {
+	if o.gone || o.runs[r.task] != r {
 		return
 	}
 	others := o.w.members(r)
-	if how == worker.Done && len(others) < r.members()-1 {
-		if time.Since(r.began) < gangTime {
-			r.timer = time.AfterFunc(gangPoll, func() { o.finish(r, how) })
+	if reason == worker.Done && len(others) < r.members()-1 {
+		if time.Since(r.startedAt) < gangTime {
+			r.timer = time.AfterFunc(gangPoll, func() { o.finish(r, reason) })
 			return
 		}
-		how = worker.GangIncomplete
-		o.w.alone++
+		reason = worker.GangIncomplete
+		o.w.gangTimeouts++
 	}
-	o.endRun(r, how)
-	if how != worker.Done {
-		how = worker.GangBroken
+	o.endRun(r, reason)
+	if reason != worker.Done {
+		reason = worker.GangBroken
 	}
 	for m, at := range others {
-		at.endRun(m, how)
+		at.endRun(m, reason)
 	}
 }
 
-// members returns the other runs of a gang, with their workers. The lock is held.
+// members returns the other runs of a gang, with their workers. The caller holds w.mu.
 func (w *World) members(r *running) map[*running]*Worker {
 	list := make(map[*running]*Worker)
 	ref, _ := job.ParseTask(r.task)
@@ -96,7 +97,7 @@
 	return list
 }
 
-// members returns how many runs must be there for a run to work.
+// members returns how many runs must be present for a run to make progress.
 func (r *running) members() int {
 	if r.step.Gang {
 		return r.step.Count
@@ -104,25 +105,25 @@
 	return 1
 }
 
-// endRun ends one run and lists that. The lock is held.
-func (o *Worker) endRun(r *running, how worker.EndReason) {
+// endRun ends one run and adds it to the ended runs. The caller holds w.mu.
+func (o *Worker) endRun(r *running, reason worker.EndReason) {
 	if r.timer != nil {
 		r.timer.Stop()
 	}
 	delete(o.runs, r.task)
-	o.ended[r.task] = r.number
-	o.next++
-	o.ends = append(o.ends, worker.EndedRun{Sequence: o.next, Task: r.task, Number: r.number, Reason: how})
+	o.lastEnded[r.task] = r.number
+	o.lastSequence++
+	o.ends = append(o.ends, worker.EndedRun{Sequence: o.lastSequence, Task: r.task, Number: r.number, Reason: reason})
 	close(o.changed)
 	o.changed = make(chan struct{})
-	o.w.ran(o, r, how)
+	o.w.recordEnd(o, r, reason)
 }
 
-// percent returns how much of a run's work is done. The lock is held.
+// percent returns how much of a run's work is done. The caller holds w.mu.
 func (o *Worker) percent(r *running) int {
-	left := r.left - time.Duration(float64(time.Since(r.counted))*o.speed())
-	if left <= 0 || r.takes <= 0 {
-		return whole
+	remaining := r.remaining - time.Duration(float64(time.Since(r.countedAt))*o.speed())
+	if remaining <= 0 || r.duration <= 0 {
+		return fullPercent
 	}
-	return whole - int(whole*left/r.takes)
+	return fullPercent - int(fullPercent*remaining/r.duration)
 }
--- a/standin/world/store.go
+++ b/standin/world/store.go
@@ -13,17 +13,17 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// partition is one partition under keys.
+// partition is one keyed partition.
 type partition struct {
 	log      []port.Record
 	newest   map[string]port.Record
-	first    uint64 // oldest offset that is kept
+	first    uint64 // oldest retained offset
 	epoch    uint64
 	sequence uint64
 	changed  chan struct{}
 }
 
-// storeTime is how long an append takes.
+// storeTime is how long a call to the store takes.
 const storeTime = 4 * time.Millisecond
 
 // Store returns the store as a node reaches it.
@@ -38,56 +38,57 @@
 	node string
 }
 
-// Outage says how a partition is away for all nodes.
+// Outage is how a partition is unavailable to all nodes.
 type Outage int
 
-// The ways in which a partition is away: its calls are refused, or get no answer.
+// Kinds of outage: calls are refused, or get no response.
 const (
 	Available Outage = iota
 	Refusing
 	Unresponsive
 )
 
-// SetOutage has a partition be away, or answer again, for all nodes.
+// SetOutage makes a partition unavailable, or available again, to all nodes.
 func (w *World) SetOutage(p port.Partition, a Outage) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.absent == nil {
-		w.absent = make(map[port.Partition]Outage)
+	if w.outages == nil {
+		w.outages = make(map[port.Partition]Outage)
 	}
-	w.absent[p] = a
+	w.outages[p] = a
 }
 
-// reach waits as long as a call takes to get there, and fails where it does not.
+// reach waits as long as a call takes to reach the store, and fails if it does not reach
+// it.
 func (s *nodeStore) reach(ctx context.Context, at port.Partition) error {
 	s.w.mu.Lock()
-	f, absence := *s.w.fault(s.node), s.w.absent[at]
+	f, outage := *s.w.fault(s.node), s.w.outages[at]
 	s.w.mu.Unlock()
-	if f.StoreUnresponsive || absence == Unresponsive {
-		return silence(ctx, callTimeout)
+	if f.StoreUnresponsive || outage == Unresponsive {
+		return noResponse(ctx, callTimeout)
 	}
-	if f.StoreUnavailable || absence == Refusing {
-		return errkind.New(errkind.LogUnavailable, "turned away")
+	if f.StoreUnavailable || outage == Refusing {
+		return errkind.New(errkind.LogUnavailable, "the store refuses calls")
 	}
 	select {
 	case <-time.After(storeTime + f.StoreLatency):
 		return nil
 	case <-ctx.Done():
-		return errkind.New(errkind.OutcomeUnknown, "the caller has left")
+		return errkind.New(errkind.OutcomeUnknown, "the caller has gone away")
 	}
 }
 
-// lost reports whether the answer to an append is lost.
+// lost reports whether the response to an append is lost.
 func (s *nodeStore) lost() bool {
 	s.w.mu.Lock()
 	defer s.w.mu.Unlock()
 	return s.w.random.Float64() < s.w.fault(s.node).StoreLostResponses
 }
 
-// answer returns an append's outcome unless its answer is lost.
-func (s *nodeStore) answer(ctx context.Context, err error) error {
+// result returns the result of an append unless its response is lost.
+func (s *nodeStore) result(ctx context.Context, err error) error {
 	if s.lost() {
-		return silence(ctx, callTimeout)
+		return noResponse(ctx, callTimeout)
 	}
 	return err
 }
@@ -99,7 +100,7 @@
 	return w.partitions[p]
 }
 
-// add appends records. The world's lock is held.
+// add appends records. The caller holds the world's mu.
 func (p *partition) add(records []port.Record) {
 	for _, r := range records {
 		r.Offset = p.first + uint64(len(p.log))
@@ -134,14 +135,14 @@
 	}
 }
 
-// repeats is how many of the last sequence numbers get their first answer again.
-const repeats = 5
+// dedupWindow is how many of the last sequence numbers get their first response again.
+const dedupWindow = 5
 
 func (s *nodeStore) append(ctx context.Context, at port.Partition, wr port.Writer, records []port.Record) error {
 	if err := s.reach(ctx, at); err != nil {
 		return err
 	}
-	return s.answer(ctx, s.w.fencedAppend(at, wr, records))
+	return s.result(ctx, s.w.fencedAppend(at, wr, records))
 }
 
 func (w *World) fencedAppend(at port.Partition, wr port.Writer, records []port.Record) error {
@@ -153,10 +154,10 @@
 		return errkind.New(errkind.Fenced, "a higher epoch has been seen")
 	case wr.Epoch > p.epoch:
 		p.epoch = wr.Epoch
-	case wr.Sequence <= p.sequence && wr.Sequence+repeats > p.sequence && len(records) > 0:
+	case wr.Sequence <= p.sequence && wr.Sequence+dedupWindow > p.sequence && len(records) > 0:
 		return nil
 	case wr.Sequence != p.sequence+1:
-		return errkind.New(errkind.Conflict, "the append does not follow")
+		return errkind.New(errkind.Conflict, "append is out of sequence")
 	}
 	if len(records) > 0 {
 		p.sequence = wr.Sequence
@@ -170,7 +171,7 @@
 		return err
 	}
 	s.w.Write(at, records...)
-	return s.answer(ctx, nil)
+	return s.result(ctx, nil)
 }
 
 func (s *nodeStore) appendAt(ctx context.Context, at port.Partition, end uint64, records []port.Record) (uint64, error) {
@@ -186,7 +187,7 @@
 	p.add(records)
 	end = p.end()
 	s.w.mu.Unlock()
-	return end, s.answer(ctx, nil)
+	return end, s.result(ctx, nil)
 }
 
 // pageRecords is the size of a page of newest records.
@@ -234,7 +235,7 @@
 		case <-until:
 			return tail, nil
 		case <-ctx.Done():
-			return tail, errkind.New(errkind.OutcomeUnknown, "the caller has left")
+			return tail, errkind.New(errkind.OutcomeUnknown, "the caller has gone away")
 		}
 	}
 }
--- a/standin/world/worker.go
+++ b/standin/world/worker.go
@@ -14,170 +14,171 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// Worker is one life of an instance in the model. Its exported fields are faults
-// and are changed through World.Touch.
+// Worker is one incarnation of a worker on an instance. Its exported fields are faults and
+// are changed through World.ChangeWorker.
 type Worker struct {
-	Unresponsive bool          // answers nothing, and runs on
-	OrderDelay   time.Duration // orders get no answer and are carried out after this
-	DefersOrders bool          // orders get no answer and are carried out once it hears again
-	Stalled      bool          // what runs makes no progress
-	Slowdown     float64       // how many times as long work takes, 0 for once
-	FailsRuns    bool          // all that begins fails
+	Unresponsive bool          // does not respond, and keeps running
+	OrderDelay   time.Duration // orders get no response and are applied after this delay
+	DefersOrders bool          // orders get no response and are applied once the fault ends
+	Stalled      bool          // runs make no progress
+	Slowdown     float64       // factor by which work takes longer, 0 for 1
+	FailsRuns    bool          // everything that starts fails
 
-	w       *World
-	info    worker.Worker
-	over    bool      // the life has ended
-	roomy   job.Size  // what it had room for before it has shrunk
-	shrunk  time.Time // when it has, zero for never
-	began   time.Time
-	token   uint64
-	lease   time.Duration // on the worker's clock
-	runs    map[string]*running
-	ended   map[string]int // the newest run that is over, by task
-	ends    []worker.EndedRun
-	next    int
-	void    int       // ends up to this one do not count
-	harmed  time.Time // since when what fills keeps a serving task over its target
-	changed chan struct{}
-	unheard []func() // orders that wait until it hears again
-	early   []func() // orders to an earlier life under its id that have come before any other order
+	w              *World
+	info           worker.Worker
+	gone           bool      // the incarnation has ended
+	capacityBefore job.Size  // capacity before it was reduced
+	shrunkAt       time.Time // zero if it never was
+	startedAt      time.Time
+	token          uint64
+	lease          time.Duration // on the worker's clock
+	runs           map[string]*running
+	lastEnded      map[string]int // the newest run that has ended, by task
+	ends           []worker.EndedRun
+	lastSequence   int
+	voidEnds       int       // ends up to this sequence do not count
+	harmedSince    time.Time // since when backfill tasks keep a serving task over its latency objective
+	changed        chan struct{}
+	deferred       []func() // orders that wait until the fault ends
+	earlyOrders    []func() // orders to an earlier incarnation of the same id that arrived before any other order
 }
 
-// The times of a worker.
+// Durations of a worker's operations.
 const (
 	orderTime   = 2 * time.Millisecond
 	stopTime    = 200 * time.Millisecond
-	lastingTime = 300 * time.Millisecond // until a task that lasts is at work
+	lastingTime = 300 * time.Millisecond // until a long-running task is working
 	clockStart  = 100 * time.Second
 	gangTime    = 3 * time.Second       // that the members of a gang wait for each other
-	gangPoll    = 20 * time.Millisecond // until one that waits looks again
-	whole       = 100                   // percent
+	gangPoll    = 20 * time.Millisecond // interval at which a waiting member checks again
+	fullPercent = 100                   // percent
 )
 
-// AddWorker brings a worker of an instance up in a pool and lists it.
+// AddWorker starts a worker on an instance in a pool and lists it.
 func (w *World) AddWorker(instance, pool, rack string, capacity job.Size) worker.ID {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.instances[instance] == nil {
 		w.instances[instance] = newInstance(instance, rack, capacity)
 	}
-	return w.bringUp(w.instances[instance], pool)
+	return w.startWorker(w.instances[instance], pool)
 }
 
-// bringUp begins a life of an instance. The lock is held.
-func (w *World) bringUp(i *instance, pool string) worker.ID {
-	w.lives++
-	id := worker.ID(fmt.Sprintf("i-%04d", w.lives))
-	w.list(w.begin(i, pool, id))
+// startWorker starts an incarnation of an instance under a new id. The caller holds w.mu.
+func (w *World) startWorker(i *instance, pool string) worker.ID {
+	w.incarnations++
+	id := worker.ID(fmt.Sprintf("i-%04d", w.incarnations))
+	w.writeEntry(w.startIncarnation(i, pool, id))
 	return id
 }
 
-// begin begins a life of an instance under an id. The lock is held.
-func (w *World) begin(i *instance, pool string, id worker.ID) *Worker {
+// startIncarnation starts an incarnation of an instance under the given id. The caller
+// holds w.mu.
+func (w *World) startIncarnation(i *instance, pool string, id worker.ID) *Worker {
 	o := &Worker{
-		w: w, began: time.Now(), runs: make(map[string]*running), ended: make(map[string]int), changed: make(chan struct{}),
+		w: w, startedAt: time.Now(), runs: make(map[string]*running), lastEnded: make(map[string]int), changed: make(chan struct{}),
 		info: worker.Worker{
 			ID: id, Instance: i.name, Pool: pool, Address: "worker-" + string(id), Labels: i.labels, Capacity: i.capacity,
 		},
 	}
-	if w.reborn {
+	if w.sameIDRestarts {
 		o.info.StartedAt = time.Now().UnixMilli()
 	}
-	i.pool, i.condition, i.life = pool, port.Up, id
+	i.pool, i.condition, i.workerID = pool, port.Up, id
 	w.workers[id] = o
 	return o
 }
 
-// workersAt is where workers are listed.
-var workersAt = port.Partition{Topic: "model.workers"}
+// workersPartition is the partition in which workers are listed.
+var workersPartition = port.Partition{Topic: "model.workers"}
 
-// list writes what a worker says of itself. The lock is held.
-func (w *World) list(o *Worker) {
-	w.partition(workersAt).add([]port.Record{{Key: string(o.info.ID), Value: encodeWorker(o.info)}})
+// writeEntry writes a worker's own entry. The caller holds w.mu.
+func (w *World) writeEntry(o *Worker) {
+	w.partition(workersPartition).add([]port.Record{{Key: string(o.info.ID), Value: encodeWorker(o.info)}})
 }
 
-// listedAfter is how long a worker stays listed that has crashed.
+// listedAfter is how long a crashed worker stays listed.
 const listedAfter = 4 * time.Second
 
-// Crash ends a worker's life without a word; its instance comes back after a while.
+// Crash ends a worker's incarnation without notice; its instance comes back after a while.
 func (w *World) Crash(id worker.ID, down time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	o := w.workers[id]
-	if o.over {
+	if o.gone {
 		return
 	}
 	w.crash(o, down)
 	o.breakGangs()
 }
 
-// crash ends a worker's life; gangs of which members ran there wait for them in vain. The
-// lock is held.
+// crash ends a worker's incarnation. Gangs that had members there wait for them until they
+// time out. The caller holds w.mu.
 func (w *World) crash(o *Worker, down time.Duration) {
 	id := o.info.ID
-	w.crashedUnder(o)
+	w.countCrash(o)
 	o.end()
 	i := w.instances[o.info.Instance]
-	i.condition, i.life = port.Down, ""
-	time.AfterFunc(listedAfter, func() { w.unlist(id) })
+	i.condition, i.workerID = port.Down, ""
+	time.AfterFunc(listedAfter, func() { w.removeEntry(id) })
 	time.AfterFunc(down, func() {
-		if !w.startAgain(o) {
-			w.back(i)
+		if !w.restartWithSameID(o) {
+			w.restore(i)
 		}
 	})
 }
 
-// unlist removes the entry of a worker, unless it lives.
-func (w *World) unlist(id worker.ID) {
+// removeEntry removes the entry of a worker unless it is running.
+func (w *World) removeEntry(id worker.ID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.workers[id].over {
-		w.partition(workersAt).add([]port.Record{{Key: string(id)}})
+	if w.workers[id].gone {
+		w.partition(workersPartition).add([]port.Record{{Key: string(id)}})
 	}
 }
 
-// RelistEnded lists all lives again that are over, for a while: what a worker said of
-// itself may be written late.
+// RelistEnded lists all ended incarnations again for a while, because a worker's own entry
+// may be written late.
 func (w *World) RelistEnded() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
-		if o := w.workers[id]; o.over {
-			w.list(o)
-			time.AfterFunc(relistedFor, func() { w.unlist(id) })
+		if o := w.workers[id]; o.gone {
+			w.writeEntry(o)
+			time.AfterFunc(relistedFor, func() { w.removeEntry(id) })
 		}
 	}
-	for _, o := range w.past {
-		w.list(o)
-		time.AfterFunc(relistedFor, func() { w.relistLiving(o.info.ID) })
+	for _, o := range w.pastWorkers {
+		w.writeEntry(o)
+		time.AfterFunc(relistedFor, func() { w.refreshEntry(o.info.ID) })
 	}
 }
 
-// relistedFor is how long a life that is over stays listed once more.
+// relistedFor is how long an ended incarnation stays listed again.
 const relistedFor = time.Second
 
-// Drain has a worker say that it leaves; it ends after the time.
+// Drain makes a worker announce that it drains; it ends after the given time.
 func (w *World) Drain(id worker.ID, after time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	o := w.workers[id]
 	o.info.Draining, o.info.Remaining = true, after
-	w.list(o)
-	time.AfterFunc(after, func() { w.leave(id) })
+	w.writeEntry(o)
+	time.AfterFunc(after, func() { w.remove(id) })
 }
 
-// leave takes a worker and its instance away for good.
-func (w *World) leave(id worker.ID) {
+// remove removes a worker and its instance for good.
+func (w *World) remove(id worker.ID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	o := w.workers[id]
-	if o.over {
+	if o.gone {
 		return
 	}
 	o.end()
 	o.breakGangs()
 	delete(w.instances, o.info.Instance)
-	w.partition(workersAt).add([]port.Record{{Key: string(id)}})
+	w.partition(workersPartition).add([]port.Record{{Key: string(id)}})
 }
 
 // ChangeWorker changes a worker's faults.
@@ -189,57 +190,57 @@
 		return
 	}
 	for _, r := range o.runs {
-		o.count(r)
+		o.advance(r)
 	}
 	change(o)
 	for _, r := range o.runs {
 		o.schedule(r)
 	}
-	if o.DefersOrders || o.over {
+	if o.DefersOrders || o.gone {
 		return
 	}
-	for _, carryOut := range o.unheard {
-		carryOut()
+	for _, applyDeferred := range o.deferred {
+		applyDeferred()
 	}
-	o.unheard = nil
+	o.deferred = nil
 }
 
-// shrunkAfter is from when on a room that has shrunk counts: the users' time until a node
-// must know of it, and one writing of the worker's.
-const shrunkAfter = 4500 * time.Millisecond
+// shrinkNotice is the time after which a reduced capacity is enforced: the bound within
+// which a node must learn of it, and one write of the worker's entry.
+const shrinkNotice = 4500 * time.Millisecond
 
-// Resize gives a worker room for a share of what its instance has, and lists that.
+// Resize sets a worker's capacity to a share of its instance's capacity, and lists that.
 func (w *World) Resize(id worker.ID, share float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	o := w.workers[id]
-	if o.over {
+	if o.gone {
 		return
 	}
-	o.roomy = o.room()
-	o.info.Capacity, o.shrunk = w.instances[o.info.Instance].capacity.Scale(share), time.Now()
-	w.list(o)
+	o.capacityBefore = o.capacity()
+	o.info.Capacity, o.shrunkAt = w.instances[o.info.Instance].capacity.Scale(share), time.Now()
+	w.writeEntry(o)
 }
 
-// room returns the room that starts on a worker are held to. The lock is held.
-func (o *Worker) room() job.Size {
-	if o.shrunk.IsZero() || time.Since(o.shrunk) > shrunkAfter && !o.w.mayBeUnread(o.shrunk) {
+// capacity returns the capacity that limits starts on a worker. The caller holds w.mu.
+func (o *Worker) capacity() job.Size {
+	if o.shrunkAt.IsZero() || time.Since(o.shrunkAt) > shrinkNotice && !o.w.mayBeUnread(o.shrunkAt) {
 		return o.info.Capacity
 	}
-	return o.info.Capacity.Max(o.roomy)
+	return o.info.Capacity.Max(o.capacityBefore)
 }
 
-// end ends the worker's life. The lock is held.
+// end ends the worker's incarnation. The caller holds w.mu.
 func (o *Worker) end() {
-	o.over = true
+	o.gone = true
 	for _, r := range o.runs {
 		r.timer.Stop()
-		o.w.left(o, r)
+		o.w.recordGone(o, r)
 	}
 }
 
-// breakGangs ends the members on other workers of gangs of which some ran on a worker whose
-// life is over. The lock is held.
+// breakGangs ends the gang members on other workers whose gangs had members on this worker,
+// which has ended. The caller holds w.mu.
 func (o *Worker) breakGangs() {
 	for _, r := range o.runs {
 		for m, at := range o.w.members(r) {
@@ -251,9 +252,9 @@
 	clear(o.runs)
 }
 
-func (o *Worker) clock() time.Duration { return clockStart + time.Since(o.began) }
+func (o *Worker) clock() time.Duration { return clockStart + time.Since(o.startedAt) }
 
-// speed is how much work is done in a second. The lock is held.
+// speed returns how much work is done in a second. The caller holds w.mu.
 func (o *Worker) speed() float64 {
 	switch {
 	case o.Stalled:
@@ -264,54 +265,54 @@
 	return 1
 }
 
-// lapse ends all once the lease is over; ends that were not taken note of by then
-// never are. The lock is held.
-func (o *Worker) lapse() {
+// expireLease ends all runs if the lease has expired; ends that were not acknowledged by
+// then never are. The caller holds w.mu.
+func (o *Worker) expireLease() {
 	if o.lease == 0 || o.clock() < o.lease {
 		return
 	}
-	o.void = o.next
+	o.voidEnds = o.lastSequence
 	for _, r := range o.runs {
 		o.finishLocked(r, worker.LeaseExpired)
 	}
 }
 
-// The model of tasks that share a worker: each that fills adds to the tail of those
-// that serve, by its pace.
+// Interference between tasks that share a worker: each backfill task adds to the tail
+// latency of the serving tasks, in proportion to its CPU share.
 const (
-	restTail = 0.6 // of the target, with nothing beside
-	fillTail = 0.3 // of the target, that one that fills adds at full pace
-	harmTime = 4 * time.Second
+	baseTail     = 0.6 // of the objective, with nothing else running
+	backfillTail = 0.3 // of the objective, added by one backfill task at full CPU share
+	harmTime     = 4 * time.Second
 )
 
-// tail returns the tail of the answers of a serving task. The lock is held.
-func (o *Worker) tail(r *running) time.Duration {
+// tailLatency returns the tail latency of a serving task. The caller holds w.mu.
+func (o *Worker) tailLatency(r *running) time.Duration {
 	if r.step.LatencyObjective == 0 {
 		return 0
 	}
-	share := restTail
+	share := baseTail
 	for _, u := range o.runs {
 		if u.step.Backfill {
-			share += fillTail * float64(u.pace) / whole
+			share += backfillTail * float64(u.cpuShare) / fullPercent
 		}
 	}
 	return time.Duration(share * float64(r.step.LatencyObjective))
 }
 
-// checkHarm notes for how long what fills keeps a serving task over its target. The
-// lock is held.
+// checkHarm checks how long backfill tasks keep a serving task over its latency objective.
+// The caller holds w.mu.
 func (o *Worker) checkHarm() {
-	over := false
+	harmed := false
 	for _, r := range o.runs {
-		over = over || r.step.LatencyObjective > 0 && o.tail(r) > r.step.LatencyObjective
+		harmed = harmed || r.step.LatencyObjective > 0 && o.tailLatency(r) > r.step.LatencyObjective
 	}
 	switch {
-	case !over:
-		o.harmed = time.Time{}
-	case o.harmed.IsZero():
-		o.harmed = time.Now()
-	case time.Since(o.harmed) > harmTime:
-		o.w.broken("HARM: what fills on %s keeps a task over its target for %s", o.info.ID, time.Since(o.harmed))
-		o.harmed = time.Now()
+	case !harmed:
+		o.harmedSince = time.Time{}
+	case o.harmedSince.IsZero():
+		o.harmedSince = time.Now()
+	case time.Since(o.harmedSince) > harmTime:
+		o.w.violation("HARM: backfill tasks on %s keep a task over its latency objective for %s", o.info.ID, time.Since(o.harmedSince))
+		o.harmedSince = time.Now()
 	}
 }
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -16,72 +16,72 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// World is the model; New makes it. Lock order: mu is the only lock.
+// World is the model; use New to create one. mu is its only lock.
 type World struct {
-	mu         sync.Mutex
-	random     *rand.Rand
-	partitions map[port.Partition]*partition
-	workers    map[worker.ID]*Worker
-	instances  map[string]*instance
-	waves      map[int]*waveWork
-	jobs       map[job.ID]*submitted
-	faults     map[string]*Faults        // by node
-	absent     map[port.Partition]Outage // partitions that are away
-	policies   map[string]time.Duration  // how long a ticket holds, by pool
-	ordersLost float64                   // share of the orders to instances that get no answer
-	lives      int
-	reborn     bool                  // workers that crash come back under their id
-	past       []*Worker             // lives that are over and whose id another has
-	alone      int                   // runs that have waited for the others of their gang in vain
-	limits     map[string][]setLimit // of customers, the oldest first
-	unread     time.Time             // until when a node could not read the store
-	violations []string
-	networks   network
+	mu             sync.Mutex
+	random         *rand.Rand
+	partitions     map[port.Partition]*partition
+	workers        map[worker.ID]*Worker
+	instances      map[string]*instance
+	waves          map[int]*waveState
+	jobs           map[job.ID]*jobRecord
+	faults         map[string]*Faults        // by node
+	outages        map[port.Partition]Outage // partitions that are unavailable
+	ticketValidity map[string]time.Duration  // how long a ticket is valid, by pool
+	lostOrderShare float64                   // share of the orders to instances that get no response
+	incarnations   int
+	sameIDRestarts bool                       // crashed workers restart under their id
+	pastWorkers    []*Worker                  // ended incarnations whose id another one has
+	gangTimeouts   int                        // runs that timed out waiting for other members of their gang
+	limits         map[string][]customerLimit // of customers, the oldest first
+	unreadUntil    time.Time                  // the last time a node could not read the store
+	violations     []string
+	network        network
 }
 
-// Faults are what is wrong for one node; the zero value is nothing.
+// Faults are the faults injected for one node; the zero value is none.
 type Faults struct {
-	StoreUnresponsive  bool          // calls to the store get no answer and do nothing
+	StoreUnresponsive  bool          // calls to the store get no response and do nothing
 	StoreUnavailable   bool          // calls to the store are refused
-	StoreLostResponses float64       // share of appends that are done and not answered
-	StoreLatency       time.Duration // added to each answer
+	StoreLostResponses float64       // share of appends that are applied but get no response
+	StoreLatency       time.Duration // added to each response
 	PeersCut           bool          // nothing passes between this node and others
 	WorkersCut         bool          // nothing passes between this node and workers
 	IsolatedUntil      time.Time     // until when the node is out of touch, for the rules with a time bound
-	OrdersDelayedUntil time.Time     // until when its orders may be held up on their way
+	OrdersDelayedUntil time.Time     // until when its orders may be delayed in transit
 }
 
-// apart reports whether the rules with a time bound do not apply to a node now.
-func (f *Faults) apart() bool {
+// isolated reports whether the rules with a time bound do not apply to a node now.
+func (f *Faults) isolated() bool {
 	return time.Now().Before(f.IsolatedUntil) || time.Now().Before(f.OrdersDelayedUntil)
 }
 
-// New returns an empty world whose luck is drawn from a seed.
+// New returns an empty world with a random source of the given seed.
 func New(seed uint64) *World {
 	return &World{
-		random:     rand.New(rand.NewPCG(seed, seed)),
-		partitions: make(map[port.Partition]*partition),
-		workers:    make(map[worker.ID]*Worker),
-		instances:  make(map[string]*instance),
-		waves:      make(map[int]*waveWork),
-		jobs:       make(map[job.ID]*submitted),
-		faults:     make(map[string]*Faults),
-		policies:   make(map[string]time.Duration),
+		random:         rand.New(rand.NewPCG(seed, seed)),
+		partitions:     make(map[port.Partition]*partition),
+		workers:        make(map[worker.ID]*Worker),
+		instances:      make(map[string]*instance),
+		waves:          make(map[int]*waveState),
+		jobs:           make(map[job.ID]*jobRecord),
+		faults:         make(map[string]*Faults),
+		ticketValidity: make(map[string]time.Duration),
 	}
 }
 
-// SetFaults changes what is wrong for a node.
+// SetFaults changes the faults of a node.
 func (w *World) SetFaults(node string, change func(f *Faults)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f := w.fault(node)
-	if f.storeless() {
-		w.unread = time.Now()
+	if f.withoutStore() {
+		w.unreadUntil = time.Now()
 	}
 	change(f)
 }
 
-// fault returns what is wrong for a node. The lock is held.
+// fault returns the faults of a node. The caller holds w.mu.
 func (w *World) fault(node string) *Faults {
 	if w.faults[node] == nil {
 		w.faults[node] = &Faults{}
@@ -89,26 +89,26 @@
 	return w.faults[node]
 }
 
-// broken notes something that must not happen. The lock is held.
-func (w *World) broken(format string, args ...any) {
+// violation records a violation of a rule. The caller holds w.mu.
+func (w *World) violation(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// Violations returns what has happened that must not.
+// Violations returns the recorded violations.
 func (w *World) Violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]string(nil), w.violations...)
 }
 
-// callTimeout is how long a call waits for an answer that does not come.
+// callTimeout is how long a call waits for a response before it times out.
 const callTimeout = 400 * time.Millisecond
 
-// silence waits as a call does that gets no answer.
-func silence(ctx context.Context, d time.Duration) error {
+// noResponse waits like a call that gets no response, and returns its error.
+func noResponse(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
 	}
-	return errkind.New(errkind.OutcomeUnknown, "no answer")
+	return errkind.New(errkind.OutcomeUnknown, "no response")
 }
