--- a/standin/fleet_file.go
+++ b/standin/fleet_file.go
@@ -15,7 +15,7 @@
 	DataCenters []DataCenter `toml:"hall"`
 }
 
-// DataCenter is a hall with alike racks of alike workers.
+// DataCenter is a data centre with identical racks of identical workers.
 type DataCenter struct {
 	Name           string `toml:"name"`
 	Racks          int    `toml:"racks"`
@@ -28,7 +28,7 @@
 	Connections    int    `toml:"connections"`
 }
 
-// ParseFleet reads a fleet file.
+// ParseFleet parses a fleet file.
 func ParseFleet(name, data string) ([]fleet.Worker, tomlfile.Problems) {
 	var f FleetFile
 	problems, _ := tomlfile.Decode(name, data, &f)
--- a/standin/log.go
+++ b/standin/log.go
@@ -17,52 +17,52 @@
 // pageRecords bounds how many records one read returns.
 const pageRecords = 512
 
-// LogFaults are the failures of the log that a test can switch on.
+// LogFaults are the failures of the log that a test can inject.
 type LogFaults struct {
-	Down          bool          `json:"down"`         // nothing is taken and nothing read
-	LoseResponses int           `json:"lose_answers"` // appends that take effect and report an error
+	Down          bool          `json:"down"`         // appends and reads fail
+	LoseResponses int           `json:"lose_answers"` // number of appends that take effect and report an error
 	Delay         time.Duration `json:"delay"`        // before each append takes effect
-	CutOff        string        `json:"cut_off"`      // name of a client that can't reach the log
+	CutOff        string        `json:"cut_off"`      // name of a client that cannot reach the log
 }
 
 // Log is an append-only log in memory; its zero value is empty and unlimited.
 type Log struct {
 	Clock            clock.Clock
-	AppendsPerSecond int           // appends a second, 0 for no limit
-	Retention        time.Duration // how long records are kept, 0 for ever
-
-	mu      sync.Mutex
-	first   uint64
-	records []record.Stored
-	grown   chan struct{} // closed at each append; nil until somebody waits
-	faults  LogFaults
-	credit  float64
-	credAt  time.Time
-	appends uint64
-	bytes   uint64
+	AppendsPerSecond int           // 0 for no limit
+	Retention        time.Duration // how long records are retained, 0 for ever
+
+	mu         sync.Mutex
+	first      uint64
+	records    []record.Stored
+	appended   chan struct{} // closed at the next append; nil if nobody waits
+	faults     LogFaults
+	tokens     float64
+	refilledAt time.Time
+	appends    uint64
+	bytes      uint64
 }
 
-// Port returns the log as the core sees it.
+// Port returns the log as the services use it.
 func (l *Log) Port() platform.Log {
 	return platform.Log{Append: l.Append, Read: l.Read}
 }
 
-// SetFaults switches failures on and off.
+// SetFaults sets the injected failures.
 func (l *Log) SetFaults(f LogFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
-	l.wake()
+	l.notifyReaders()
 }
 
-// Faults returns the failures that are switched on.
+// Faults returns the injected failures.
 func (l *Log) Faults() LogFaults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.faults
 }
 
-// Appends returns how many appends took effect, and their bytes.
+// Appends returns how many appends took effect, and their size in bytes.
 func (l *Log) Appends() (count, bytes uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,10 +70,10 @@
 }
 
 func unavailable() error {
-	return errkind.New(errkind.LogUnavailable, "the log service does not answer")
+	return errkind.New(errkind.LogUnavailable, "the log service does not respond")
 }
 
-// Append adds data at the end.
+// Append appends data.
 func (l *Log) Append(ctx context.Context, data []byte) (uint64, error) {
 	if d := l.Faults().Delay; d > 0 {
 		select {
@@ -87,44 +87,44 @@
 	if l.faults.Down {
 		return 0, unavailable()
 	}
-	if !l.takeCredit() {
-		return 0, errkind.New(errkind.Overloaded, "the log takes %d appends a second", l.AppendsPerSecond)
+	if !l.takeToken() {
+		return 0, errkind.New(errkind.Overloaded, "the log accepts %d appends per second", l.AppendsPerSecond)
 	}
 	offset := l.first + uint64(len(l.records))
 	l.records = append(l.records, record.Stored{Offset: offset, At: l.Clock.Now(), Data: data})
 	l.appends++
 	l.bytes += uint64(len(data))
 	l.trim()
-	l.wake()
+	l.notifyReaders()
 	if l.faults.LoseResponses > 0 {
 		l.faults.LoseResponses--
-		return 0, errkind.New(errkind.OutcomeUnknown, "the answer of the append was lost")
+		return 0, errkind.New(errkind.OutcomeUnknown, "the response to the append was lost")
 	}
 	return offset, nil
 }
 
-// takeCredit is a token bucket with a fifth of a second of burst.
-func (l *Log) takeCredit() bool {
+// takeToken implements a token bucket whose burst is a fifth of a second's appends.
+func (l *Log) takeToken() bool {
 	if l.AppendsPerSecond == 0 {
 		return true
 	}
 	now := l.Clock.Now()
 	rate := float64(l.AppendsPerSecond)
 	burst := max(rate/5, 1)
-	if l.credAt.IsZero() {
-		l.credit = burst
+	if l.refilledAt.IsZero() {
+		l.tokens = burst
 	} else {
-		l.credit = min(l.credit+now.Sub(l.credAt).Seconds()*rate, burst)
+		l.tokens = min(l.tokens+now.Sub(l.refilledAt).Seconds()*rate, burst)
 	}
-	l.credAt = now
-	if l.credit < 1 {
+	l.refilledAt = now
+	if l.tokens < 1 {
 		return false
 	}
-	l.credit--
+	l.tokens--
 	return true
 }
 
-// trim drops what is older than the retention.
+// trim drops the records that are older than the retention.
 func (l *Log) trim() {
 	if l.Retention == 0 {
 		return
@@ -138,14 +138,14 @@
 	l.records = l.records[n:]
 }
 
-func (l *Log) wake() {
-	if l.grown != nil {
-		close(l.grown)
-		l.grown = nil
+func (l *Log) notifyReaders() {
+	if l.appended != nil {
+		close(l.appended)
+		l.appended = nil
 	}
 }
 
-// Read returns the records at an offset and after it.
+// Read returns the records from an offset on, and waits for some if there are none.
 func (l *Log) Read(ctx context.Context, from uint64, wait time.Duration) (platform.Page, error) {
 	timeout := l.Clock.After(wait)
 	for {
@@ -175,8 +175,8 @@
 		rest := l.records[from-l.first:]
 		page.Records = rest[:min(len(rest), pageRecords)]
 	}
-	if l.grown == nil {
-		l.grown = make(chan struct{})
+	if l.appended == nil {
+		l.appended = make(chan struct{})
 	}
-	return page, l.grown, nil
+	return page, l.appended, nil
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -16,56 +16,56 @@
 	"github.com/yardbridge/yardbridge/services/platform"
 )
 
-// Platform is the fake of instance list and workers; its zero value is empty.
+// Platform fakes the instance list and the workers; its zero value is empty.
 type Platform struct {
 	Clock    clock.Clock
-	Lag      time.Duration       // how far the instance list is behind
+	Lag      time.Duration       // delay of the instance list
 	BootTime time.Duration       // how long a reboot takes
-	OnReboot func(worker string) // told of each reboot as it begins, may be nil
+	OnReboot func(worker string) // called when a reboot begins, may be nil
 
-	mu       sync.Mutex
-	workers  map[string]*machine
-	entries  map[string]bool
-	revision uint64
-	history  []shownList // oldest first
-	reboots  int
-	loseNext int // reboots and starts that take effect and report an error
-	starts   map[string]int
-	reported uint64 // revision of the reports
+	mu              sync.Mutex
+	workers         map[string]*machine
+	entries         map[string]bool
+	revision        uint64
+	history         []publishedList // oldest first
+	reboots         int
+	loseResponses   int // reboots and starts that take effect and report an error
+	starts          map[string]int
+	reportsRevision uint64
 }
 
-// machine is one worker with what it runs.
+// machine is one worker and its tasks.
 type machine struct {
-	worker    fleet.Worker
-	tasks     map[string]*task
-	bootingTo time.Time // end of the reboot under way, zero for none
-	stuck     bool      // never comes back from a reboot
-	broken    bool      // fails every task
+	worker     fleet.Worker
+	tasks      map[string]*task
+	rebootEnds time.Time // end of the reboot in progress, zero for none
+	stuck      bool      // never completes a reboot
+	broken     bool      // fails every task
 }
 
 type task struct {
-	spec  platform.Task
-	state platform.TaskState
-	until time.Time // end of the lease
-	ends  time.Time
-	cores int // used, at most as many as it is throttled to
-	wants int // used if it were not throttled
+	spec        platform.Task
+	state       platform.TaskState
+	leaseEnds   time.Time
+	ends        time.Time
+	usedCores   int // at most as many as it is throttled to
+	wantedCores int // used if it were not throttled
 
 	changed uint64 // revision of the reports at which it changed
 }
 
-// shownList is the list as it stood at a time.
-type shownList struct {
+// publishedList is the instance list as of a time.
+type publishedList struct {
 	at      time.Time
 	listing platform.Listing
 }
 
-// Fleet returns the instance list as the core sees it.
+// Fleet returns the instance list as the services use it.
 func (p *Platform) Fleet() platform.Fleet {
 	return platform.Fleet{List: p.list, Reboot: p.reboot}
 }
 
-// SetWorker adds a worker or changes what the list says of it.
+// SetWorker adds a worker or changes its entry in the list.
 func (p *Platform) SetWorker(w fleet.Worker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,7 +79,7 @@
 	if w.Condition == fleet.Gone {
 		m.tasks = make(map[string]*task)
 	}
-	p.changed()
+	p.publish()
 }
 
 // SetCondition changes the condition of a worker.
@@ -88,7 +88,7 @@
 	m, ok := p.workers[worker]
 	p.mu.Unlock()
 	if !ok {
-		return errkind.New(errkind.NotFound, "worker %s is not known", worker)
+		return errkind.New(errkind.NotFound, "unknown worker %s", worker)
 	}
 	p.SetWorker(m.worker.WithCondition(c))
 	return nil
@@ -112,14 +112,14 @@
 	}
 }
 
-// LoseResponses makes the next actions take effect and report an error.
+// LoseResponses makes the next n actions take effect and report an error.
 func (p *Platform) LoseResponses(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.loseNext = n
+	p.loseResponses = n
 }
 
-// SetEntry puts an instance of the system on the list or takes it off.
+// SetEntry adds an instance of this project to the list or removes it.
 func (p *Platform) SetEntry(name string, listed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,7 +128,7 @@
 		return
 	}
 	p.entries[name] = listed
-	p.changed()
+	p.publish()
 }
 
 // Reboots returns how many reboots have begun.
@@ -146,8 +146,8 @@
 	}
 }
 
-// changed notes a new list; p.mu is held.
-func (p *Platform) changed() {
+// publish adds the current list to the history. The caller holds p.mu.
+func (p *Platform) publish() {
 	p.revision++
 	l := platform.Listing{Revision: p.revision}
 	for _, id := range slices.Sorted(maps.Keys(p.workers)) {
@@ -160,21 +160,21 @@
 			l.Entries = append(l.Entries, name)
 		}
 	}
-	p.history = append(p.history, shownList{at: p.Clock.Now(), listing: l})
+	p.history = append(p.history, publishedList{at: p.Clock.Now(), listing: l})
 }
 
-// list returns the newest list that is as old as the lag.
+// list returns the newest list that is at least as old as the lag.
 func (p *Platform) list(_ context.Context, known uint64) (platform.Listing, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.init()
 	p.advance()
 	bound := p.Clock.Now().Add(-p.Lag)
-	shown := 0
-	for shown+1 < len(p.history) && !p.history[shown+1].at.After(bound) {
-		shown++
+	current := 0
+	for current+1 < len(p.history) && !p.history[current+1].at.After(bound) {
+		current++
 	}
-	p.history = p.history[shown:]
+	p.history = p.history[current:]
 	if len(p.history) == 0 || p.history[0].at.After(bound) {
 		return platform.Listing{}, nil
 	}
@@ -184,20 +184,20 @@
 	return platform.Listing{Revision: p.history[0].listing.Revision}, nil
 }
 
-// reboot begins a restart of a worker.
+// reboot begins a reboot of a worker.
 func (p *Platform) reboot(_ context.Context, worker string) error {
 	p.mu.Lock()
 	m, ok := p.workers[worker]
 	if !ok {
 		p.mu.Unlock()
-		return errkind.New(errkind.NotFound, "worker %s is not known", worker)
+		return errkind.New(errkind.NotFound, "unknown worker %s", worker)
 	}
 	p.reboots++
 	m.worker.Condition = fleet.Leaving
-	m.bootingTo = p.Clock.Now().Add(p.BootTime)
+	m.rebootEnds = p.Clock.Now().Add(p.BootTime)
 	m.tasks = make(map[string]*task)
-	p.changed()
-	err := p.loseAnswer()
+	p.publish()
+	err := p.loseResponse()
 	p.mu.Unlock()
 	if p.OnReboot != nil {
 		p.OnReboot(worker)
@@ -205,30 +205,30 @@
 	return err
 }
 
-// loseAnswer returns an error for an action that took effect, if one is due.
-func (p *Platform) loseAnswer() error {
-	if p.loseNext == 0 {
+// loseResponse returns an error for an action that took effect, if one is due.
+func (p *Platform) loseResponse() error {
+	if p.loseResponses == 0 {
 		return nil
 	}
-	p.loseNext--
-	return errkind.New(errkind.OutcomeUnknown, "the answer of the platform was lost")
+	p.loseResponses--
+	return errkind.New(errkind.OutcomeUnknown, "the response of the platform was lost")
 }
 
-// advance ends reboots, tasks and leases that are due; p.mu is held.
+// advance completes the reboots, tasks and leases that are due. The caller holds p.mu.
 func (p *Platform) advance() {
 	now := p.Clock.Now()
 	for _, m := range p.workers {
-		if !m.bootingTo.IsZero() && !m.stuck && !now.Before(m.bootingTo) {
-			m.bootingTo = time.Time{}
+		if !m.rebootEnds.IsZero() && !m.stuck && !now.Before(m.rebootEnds) {
+			m.rebootEnds = time.Time{}
 			m.worker.BootCount++
 			m.worker.Condition = fleet.Live
-			p.changed()
+			p.publish()
 		}
 		for _, t := range m.tasks {
 			was := t.state
 			t.advance(now)
 			if t.state != was {
-				p.touch(t)
+				p.recordChange(t)
 			}
 		}
 	}
--- a/standin/run.go
+++ b/standin/run.go
@@ -14,16 +14,16 @@
 	"github.com/yardbridge/yardbridge/modules/httpserve"
 )
 
-// The stand-in's behaviour unless told otherwise.
+// Defaults of the stand-in.
 const (
 	defaultAppends  = 100
 	defaultRetain   = 24 * time.Hour
 	defaultLag      = 500 * time.Millisecond
 	defaultBootTime = 2 * time.Second
-	readTimeout     = time.Minute // for the head of a call, and for its body
+	readTimeout     = time.Minute // for the header of a request, and for its body
 )
 
-// RunningServer is a stand-in that serves.
+// RunningServer is a stand-in that serves requests.
 type RunningServer struct {
 	Server  *Server
 	Address string
@@ -31,13 +31,13 @@
 	surface *httpserve.Server
 }
 
-// Options change the stand-in's behaviour; zero values take the defaults.
+// Options change the stand-in's behaviour; zero values select the defaults.
 type Options struct {
 	Address          string // to listen on
 	Lag              time.Duration
 	BootTime         time.Duration
 	Retention        time.Duration
-	AppendsPerSecond int // a second
+	AppendsPerSecond int
 }
 
 func orDefault[T comparable](v, fallback T) T {
@@ -48,8 +48,8 @@
 	return v
 }
 
-// Start serves a stand-in with a sample target for each worker, on the IP
-// number of its own address.
+// Start serves a stand-in with a sample target for each worker, on the IP of its own
+// address.
 func Start(o Options, workers []fleet.Worker) (*RunningServer, error) {
 	s := &Server{
 		Log:      &Log{AppendsPerSecond: orDefault(o.AppendsPerSecond, defaultAppends), Retention: orDefault(o.Retention, defaultRetain)},
@@ -78,11 +78,11 @@
 	return r, nil
 }
 
-// stopLimit bounds a planned stop of the stand-in, whose calls take milliseconds but
-// for those that wait for news.
+// stopLimit bounds a graceful stop of the stand-in, whose requests take milliseconds except
+// for those that wait for changes.
 const stopLimit = 2 * time.Second
 
-// Stop has the calls that were taken end with their answers, and closes the stand-in.
+// Stop lets the accepted requests complete and closes the stand-in.
 func (r *RunningServer) Stop(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, stopLimit)
 	defer cancel()
@@ -91,7 +91,7 @@
 	return errors.Trace(err)
 }
 
-// Close ends the stand-in and its targets at once.
+// Close closes the stand-in and its targets immediately.
 func (r *RunningServer) Close(context.Context) {
 	_ = r.surface.Close()
 	for _, t := range r.Server.Targets {
--- a/standin/server.go
+++ b/standin/server.go
@@ -20,14 +20,14 @@
 // maxBody bounds the body of a request to the stand-in.
 const maxBody = 16 << 20
 
-// Server shows the stand-in over HTTP.
+// Server serves the stand-in over HTTP.
 type Server struct {
 	Log      *Log
 	Platform *Platform
 	Targets  map[string]*Target // by worker
 }
 
-// Handler returns the stand-in's routes; those under /control switch failures.
+// Handler returns the stand-in's routes; those under /control inject failures.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /log/append", s.handleAppend)
@@ -47,14 +47,14 @@
 	return mux
 }
 
-// reply answers with JSON, or with the table's answer for an error.
+// reply responds with JSON, or with the response for an error.
 func reply(w http.ResponseWriter, v any, err error) {
 	if err != nil {
 		errkind.Write(w, "", err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// A caller that has gone away needs no answer.
+	// Encoding fails only if the caller has gone away.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
@@ -115,9 +115,9 @@
 	_, _ = w.Write(data)
 }
 
-// knownRevision is what the caller of a list has seen already, 0 for nothing.
+// knownRevision returns the revision that the caller of a list already has, 0 for none.
 func knownRevision(r *http.Request) uint64 {
-	known, _ := strconv.ParseUint(r.URL.Query().Get("newer-than"), 10, 64) // none asks for all
+	known, _ := strconv.ParseUint(r.URL.Query().Get("newer-than"), 10, 64) // a missing revision requests everything
 	return known
 }
 
@@ -135,7 +135,7 @@
 	reply(w, struct{}{}, s.Platform.reboot(r.Context(), r.PathValue("id")))
 }
 
-// withBody reads a request's JSON body, has it acted on and answers.
+// withBody decodes a request's JSON body, passes it to act and responds.
 func withBody[T any](act func(r *http.Request, body T) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := read[T](r)
@@ -189,7 +189,7 @@
 func (s *Server) target(r *http.Request) (*Target, error) {
 	t, ok := s.Targets[r.PathValue("id")]
 	if !ok {
-		return nil, errkind.New(errkind.NotFound, "target %s is not known", r.PathValue("id"))
+		return nil, errkind.New(errkind.NotFound, "unknown target %s", r.PathValue("id"))
 	}
 	return t, nil
 }
--- a/standin/target.go
+++ b/standin/target.go
@@ -23,29 +23,29 @@
 	headerDeadline  = "Yardbridge-Deadline"
 )
 
-// TargetFaults are the failures of a target that a test can switch on.
+// TargetFaults are the failures of a target that a test can inject.
 type TargetFaults struct {
-	Fail     bool          `json:"fail"`    // answers 500
-	Hang     bool          `json:"hang"`    // accepts and never answers
-	Garbage  bool          `json:"garbage"` // answers something that is no HTTP
-	Truncate bool          `json:"cut"`     // breaks off in the midst of the body
-	WrongID  bool          `json:"swap"`    // answers with another request's id
-	Slow     time.Duration `json:"slow"`    // added to the work
+	Fail     bool          `json:"fail"`    // responds with status 500
+	Hang     bool          `json:"hang"`    // accepts requests and never responds
+	Garbage  bool          `json:"garbage"` // responds with something that is not HTTP
+	Truncate bool          `json:"cut"`     // closes the connection in the middle of the body
+	WrongID  bool          `json:"swap"`    // responds with another request's id
+	Slow     time.Duration `json:"slow"`    // added to the processing time
 }
 
-// TargetStats is what a target has seen.
+// TargetStats is what a target has recorded of its requests.
 type TargetStats struct {
-	Requests    int            `json:"requests"`
-	MaxInFlight int            `json:"max_in_flight"`
-	MaxConns    int            `json:"max_conns"`
-	Runs        map[string]int `json:"runs"` // by key, or by request id where there is none
-	LastStart   time.Time      `json:"last_start"`
-	Late        int            `json:"late"`     // requests whose deadline had passed as they came
-	MaxLate     time.Duration  `json:"max_late"` // nanoseconds
+	Requests     int            `json:"requests"`
+	MaxInFlight  int            `json:"max_in_flight"`
+	MaxConns     int            `json:"max_conns"`
+	Runs         map[string]int `json:"runs"` // by key; requests without a key are not counted
+	LastStart    time.Time      `json:"last_start"`
+	LateRequests int            `json:"late"`     // requests whose deadline had passed when they arrived
+	MaxLateness  time.Duration  `json:"max_late"` // nanoseconds
 }
 
-// Target is one sample back end; it has slots but does not guard them. Its
-// zero value is ready to serve.
+// Target is one sample back end; it has slots but does not enforce them. Its zero value is
+// ready to serve.
 type Target struct {
 	Name string
 
@@ -55,10 +55,10 @@
 	inFlight int
 	conns    int
 	server   *http.Server
-	released chan struct{} // closed to let hung requests go
+	unhang   chan struct{} // closed to release hung requests
 }
 
-// Listen serves the target on an address and returns the address it got.
+// Listen serves the target on an address and returns the bound address.
 func (t *Target) Listen(address string) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -70,28 +70,28 @@
 }
 
 func (t *Target) run(l net.Listener) {
-	// Serve ends with an error in any case, when the target is closed.
+	// Serve always returns an error, namely when the target is closed.
 	_ = t.server.Serve(l)
 }
 
-// Close ends the target and cuts its connections.
+// Close closes the target and its connections.
 func (t *Target) Close() error {
 	t.SetFaults(TargetFaults{})
 	return errors.Trace(t.server.Close())
 }
 
-// SetFaults switches failures on and off.
+// SetFaults sets the injected failures.
 func (t *Target) SetFaults(f TargetFaults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = f
-	if !f.Hang && t.released != nil {
-		close(t.released)
-		t.released = nil
+	if !f.Hang && t.unhang != nil {
+		close(t.unhang)
+		t.unhang = nil
 	}
 }
 
-// Stats returns what the target has seen so far.
+// Stats returns what the target has recorded so far.
 func (t *Target) Stats() TargetStats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,7 +115,7 @@
 	}
 }
 
-// begin notes a request and returns the failures that it meets.
+// begin records a request and returns the failures that apply to it.
 func (t *Target) begin(r *http.Request) (TargetFaults, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -126,26 +126,26 @@
 	if t.journal.Runs == nil {
 		t.journal.Runs = make(map[string]int)
 	}
-	// Only keyed requests are told apart, or the journal would grow for ever.
+	// Only keyed requests are counted individually, or the map would grow without bound.
 	if key := r.Header.Get(headerKey); key != "" {
 		t.journal.Runs[key]++
 	}
-	t.noteLate(r)
-	if t.faults.Hang && t.released == nil {
-		t.released = make(chan struct{})
+	t.recordLateness(r)
+	if t.faults.Hang && t.unhang == nil {
+		t.unhang = make(chan struct{})
 	}
-	return t.faults, t.released
+	return t.faults, t.unhang
 }
 
-// noteLate notes how late a request came; t.mu is held.
-func (t *Target) noteLate(r *http.Request) {
+// recordLateness records how late a request arrived. The caller holds t.mu.
+func (t *Target) recordLateness(r *http.Request) {
 	deadline, err := strconv.ParseInt(r.Header.Get(headerDeadline), 10, 64)
 	if err != nil {
-		return // without a deadline none is late
+		return // a request without a deadline is never late
 	}
 	if late := time.Since(time.UnixMilli(deadline)); late > 0 {
-		t.journal.Late++
-		t.journal.MaxLate = max(t.journal.MaxLate, late)
+		t.journal.LateRequests++
+		t.journal.MaxLateness = max(t.journal.MaxLateness, late)
 	}
 }
 
@@ -155,9 +155,9 @@
 	t.inFlight--
 }
 
-// ServeHTTP answers a request: the query work=20ms takes that long, size=N
-// answers N bytes, stream=N sends N lines with the work between them, and the
-// body of the request is sent back otherwise.
+// ServeHTTP handles a request: the query work=20ms takes that long, size=N responds with N
+// bytes, stream=N sends N lines with the work between them, and otherwise the body of the
+// request is echoed.
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	faults, released := t.begin(r)
 	defer t.end()
@@ -169,23 +169,23 @@
 		hang(r, released)
 		return
 	case faults.Fail:
-		http.Error(w, "failing as told", http.StatusInternalServerError)
+		http.Error(w, "injected failure", http.StatusInternalServerError)
 		return
 	case faults.Garbage:
-		breakOff(w, "this is no answer\r\n\r\n")
+		sendRaw(w, "this is no answer\r\n\r\n")
 		return
 	case faults.Truncate:
-		breakOff(w, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nthe first part")
+		sendRaw(w, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nthe first part")
 		return
 	case faults.WrongID:
 		id = "another"
 	}
 	w.Header().Set(headerRequestID, id)
 	w.Header().Set("X-Target", t.Name)
-	t.answer(w, r, work)
+	t.respond(w, r, work)
 }
 
-func (t *Target) answer(w http.ResponseWriter, r *http.Request, work time.Duration) {
+func (t *Target) respond(w http.ResponseWriter, r *http.Request, work time.Duration) {
 	if lines, _ := strconv.Atoi(r.URL.Query().Get("stream")); lines > 0 {
 		stream(w, r, lines, work)
 		return
@@ -234,8 +234,8 @@
 	}
 }
 
-// breakOff writes raw bytes and closes the connection.
-func breakOff(w http.ResponseWriter, text string) {
+// sendRaw writes raw bytes and closes the connection.
+func sendRaw(w http.ResponseWriter, text string) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
--- a/standin/tasks.go
+++ b/standin/tasks.go
@@ -16,10 +16,10 @@
 	"github.com/yardbridge/yardbridge/services/platform"
 )
 
-// defaultRun is how long a task runs whose command says nothing of it.
+// defaultRun is how long a task runs whose command states no duration.
 const defaultRun = time.Second
 
-// Tasks returns the workers' tasks as the core sees them.
+// Tasks returns the workers' tasks as the services use them.
 func (p *Platform) Tasks() platform.Tasks {
 	return platform.Tasks{
 		Start:    p.startTask,
@@ -30,7 +30,7 @@
 	}
 }
 
-// StartCount returns how often a task of a job run was started, over all attempts.
+// StartCount returns how often tasks of a job run were started, over all attempts.
 func (p *Platform) StartCount(run string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,7 +43,7 @@
 	return n
 }
 
-// WantedCores returns how many processors the running tasks of each worker want.
+// WantedCores returns how many cores the running tasks of each worker want.
 func (p *Platform) WantedCores() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,35 +52,35 @@
 	for id, m := range p.workers {
 		for _, t := range m.tasks {
 			if t.state == platform.TaskRunning {
-				wanted[id] += t.wants
+				wanted[id] += t.wantedCores
 			}
 		}
 	}
 	return wanted
 }
 
-// startTask begins a task; the command "sleep 2s use 4" runs for two seconds
-// and uses four cores, "fail" fails at once, "forever" runs until stopped.
+// startTask starts a task; the command "sleep 2s use 4" runs for two seconds and uses four
+// cores, "fail" fails immediately, "forever" runs until stopped.
 func (p *Platform) startTask(_ context.Context, t platform.Task) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m, ok := p.workers[t.Worker]
 	if !ok || m.worker.Condition == fleet.Gone {
-		return errkind.New(errkind.NotFound, "worker %s is not known", t.Worker)
+		return errkind.New(errkind.NotFound, "unknown worker %s", t.Worker)
 	}
 	now := p.Clock.Now()
 	p.starts[t.ID]++
-	started := &task{spec: t, state: platform.TaskRunning, until: now.Add(t.LeaseTTL), cores: t.Cores, wants: t.Cores}
+	started := &task{spec: t, state: platform.TaskRunning, leaseEnds: now.Add(t.LeaseTTL), usedCores: t.Cores, wantedCores: t.Cores}
 	started.plan(now)
 	if m.broken {
 		started.state = platform.TaskFailed
 	}
 	m.tasks[t.ID] = started
-	p.touch(started)
-	return p.loseAnswer()
+	p.recordChange(started)
+	return p.loseResponse()
 }
 
-// plan works out from the command when the task ends and what it uses.
+// plan derives from the command when the task ends and how many cores it uses.
 func (t *task) plan(now time.Time) {
 	t.ends = now.Add(defaultRun)
 	words := strings.Fields(t.spec.Command)
@@ -96,7 +96,7 @@
 			}
 		case w == "use" && i+1 < len(words):
 			if n, err := strconv.Atoi(words[i+1]); err == nil {
-				t.cores, t.wants = n, n
+				t.usedCores, t.wantedCores = n, n
 			}
 		}
 	}
@@ -107,11 +107,11 @@
 	if t.state != platform.TaskRunning {
 		return
 	}
-	if !t.ends.IsZero() && !now.Before(t.ends) && !t.ends.After(t.until) {
+	if !t.ends.IsZero() && !now.Before(t.ends) && !t.ends.After(t.leaseEnds) {
 		t.state = platform.TaskDone
 		return
 	}
-	if now.After(t.until) {
+	if now.After(t.leaseEnds) {
 		t.state = platform.TaskStopped
 	}
 }
@@ -122,11 +122,11 @@
 	p.advance()
 	m, ok := p.workers[worker]
 	if !ok {
-		return errkind.New(errkind.NotFound, "worker %s is not known", worker)
+		return errkind.New(errkind.NotFound, "unknown worker %s", worker)
 	}
 	for _, id := range ids {
 		if t, ok := m.tasks[id]; ok && t.state == platform.TaskRunning {
-			t.until = p.Clock.Now().Add(life)
+			t.leaseEnds = p.Clock.Now().Add(life)
 		}
 	}
 	return nil
@@ -139,10 +139,10 @@
 	if m, ok := p.workers[worker]; ok {
 		if t, ok := m.tasks[id]; ok && t.state == platform.TaskRunning {
 			t.state = platform.TaskStopped
-			p.touch(t)
+			p.recordChange(t)
 		}
 	}
-	return p.loseAnswer()
+	return p.loseResponse()
 }
 
 func (p *Platform) throttleTask(_ context.Context, worker, id string, cores int) error {
@@ -150,30 +150,30 @@
 	defer p.mu.Unlock()
 	if m, ok := p.workers[worker]; ok {
 		if t, ok := m.tasks[id]; ok {
-			t.cores = min(t.cores, cores)
-			p.touch(t)
+			t.usedCores = min(t.usedCores, cores)
+			p.recordChange(t)
 		}
 	}
 	return nil
 }
 
-// touch notes that a task's report has changed; p.mu is held.
-func (p *Platform) touch(t *task) {
-	p.reported++
-	t.changed = p.reported
+// recordChange records that a task's report has changed. The caller holds p.mu.
+func (p *Platform) recordChange(t *task) {
+	p.reportsRevision++
+	t.changed = p.reportsRevision
 }
 
 func (p *Platform) reports(_ context.Context, known uint64) (platform.Reports, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.advance()
-	r := platform.Reports{Revision: p.reported, Complete: known == 0 || known > p.reported}
+	r := platform.Reports{Revision: p.reportsRevision, Complete: known == 0 || known > p.reportsRevision}
 	for _, id := range slices.Sorted(maps.Keys(p.workers)) {
 		m := p.workers[id]
 		for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
 			t := m.tasks[name]
 			if r.Complete || t.changed > known {
-				r.Tasks = append(r.Tasks, platform.TaskStatus{ID: name, Worker: id, State: t.state, Cores: t.cores})
+				r.Tasks = append(r.Tasks, platform.TaskStatus{ID: name, Worker: id, State: t.state, Cores: t.usedCores})
 			}
 		}
 	}
--- a/tests/load_test.go
+++ b/tests/load_test.go
@@ -74,8 +74,8 @@
 	for _, worker := range w.workers(ts) {
 		var j standin.TargetStats
 		getJSON(ts, "http://"+w.standin+"/control/targets/"+worker+"/journal", &j)
-		late += j.Late
-		most = max(most, j.MaxLate)
+		late += j.LateRequests
+		most = max(most, j.MaxLateness)
 	}
 	ts.Logf("targets: %d requests came after their deadline, by %s at most", late, most)
 }
