--- a/modules/httpserve/conn.go
+++ b/modules/httpserve/conn.go
@@ -12,163 +12,164 @@
 	"time"
 )
 
-// acceptor counts connections in the moment that they are accepted: the library tells
-// of them later, and a stop must know each that the process has.
-type acceptor struct {
+// listener tracks connections at the moment they are accepted. The net/http server reports
+// them later, and a shutdown must know every connection of the process.
+type listener struct {
 	*net.TCPListener
-	surface  *Server
-	stopping time.Time // when Accept learnt of the stop
+	server   *Server
+	stopping time.Time // when Accept noticed the shutdown
 }
 
-// The time for the connections that the system has made for a surface which stops, and
-// would reset.
+// Time limits for accepting the connections in the kernel's backlog during a shutdown; the
+// kernel would reset them when the listener is closed.
 const (
-	// backlogSpan is how long the next of them is waited for: one that is there is
-	// taken at once.
-	backlogSpan = 10 * time.Millisecond
-	// backlogMost bounds it where new ones come all the time: a queue of 4,096, the
-	// system's most, is taken in it at 20 us each.
-	backlogMost = 100 * time.Millisecond
+	// backlogWait is how long Accept waits for the next one; a connection in the backlog is
+	// accepted immediately.
+	backlogWait = 10 * time.Millisecond
+	// maxBacklogTime bounds the accepting if new connections keep arriving: a backlog of
+	// 4,096, the largest the kernel allows, is accepted within it at 20 us each.
+	maxBacklogTime = 100 * time.Millisecond
 )
 
-// Accept takes the next connection; a surface that stops takes those that wait. Only
-// for that the listener has a deadline, the first of which is over when it is set.
-func (a *acceptor) Accept() (net.Conn, error) {
+// Accept accepts the next connection; during a shutdown it accepts those in the backlog.
+// The listener has a deadline only for this purpose, and the first one has already passed
+// when it is set.
+func (a *listener) Accept() (net.Conn, error) {
 	raw, err := a.AcceptTCP()
-	if stderrors.Is(err, os.ErrDeadlineExceeded) && a.mayTake() {
-		// A listener that takes no deadline is closed.
-		_ = a.SetDeadline(time.Now().Add(backlogSpan))
+	if stderrors.Is(err, os.ErrDeadlineExceeded) && a.mayAccept() {
+		// SetDeadline fails only if the listener is closed.
+		_ = a.SetDeadline(time.Now().Add(backlogWait))
 		raw, err = a.AcceptTCP()
 	}
 	if stderrors.Is(err, os.ErrDeadlineExceeded) {
-		return nil, net.ErrClosed // the library would try again after a timeout
+		return nil, net.ErrClosed // net/http would retry after a timeout
 	}
 	if err != nil {
 		return nil, err
 	}
-	return a.surface.hold(raw), nil
+	return a.server.track(raw), nil
 }
 
-// mayTake reports whether a surface that stops goes on taking connections.
-func (a *acceptor) mayTake() bool {
+// mayAccept reports whether the backlog is still being accepted during a shutdown.
+func (a *listener) mayAccept() bool {
 	if a.stopping.IsZero() {
 		a.stopping = time.Now()
 	}
-	return time.Since(a.stopping) < backlogMost
+	return time.Since(a.stopping) < maxBacklogTime
 }
 
 // phase is what a connection waits for.
 type phase uint8
 
 const (
-	fresh   phase = iota // for its first request
-	idle                 // for its next request, of which nothing has come
-	heading              // for the rest of a request's head
-	serving              // for the answer
+	awaitingFirst phase = iota // for its first request
+	idle                       // for its next request, of which nothing has arrived
+	readingHeader              // for the rest of a request header
+	serving                    // for the response
 )
 
-// conn is a connection of a surface.
+// conn is a connection of a Server.
 type conn struct {
 	*net.TCPConn
-	surface *Server
-	closed  sync.Once
-
-	mu    sync.Mutex
-	phase phase
-	since time.Time // when it became idle
-	asked time.Time // the deadline that the server has set
-	short bool      // another is in force, since the connection is to end
+	server *Server
+	closed sync.Once
+
+	mu           sync.Mutex
+	phase        phase
+	idleSince    time.Time // when it became idle
+	readDeadline time.Time // the deadline that net/http has set
+	shortened    bool      // an earlier deadline is in force, since the connection is to end
 }
 
-// Read reads, and notes that a request has begun to come.
+// Read reads from the connection and records that a request has started.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if n > 0 {
-		c.heard()
+		c.requestStarted()
 	}
 	return n, err
 }
 
-// heard notes that something of a request was read, from which moment on the
-// connection lasts until its answer is written.
-func (c *conn) heard() {
+// requestStarted records that a part of a request was read. From then on the connection is
+// kept until the response is written.
+func (c *conn) requestStarted() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase == fresh || c.phase == idle {
-		c.phase = heading
+	if c.phase == awaitingFirst || c.phase == idle {
+		c.phase = readingHeader
 	}
-	if c.short {
-		c.short = false
-		// A connection that takes no deadline fails the next read as well.
-		_ = c.TCPConn.SetReadDeadline(c.asked)
+	if c.shortened {
+		c.shortened = false
+		// If the deadline cannot be set, the next read fails as well.
+		_ = c.TCPConn.SetReadDeadline(c.readDeadline)
 	}
 }
 
-// SetReadDeadline sets the deadline, or an earlier one where the surface has a shorter
-// time for what the connection waits for.
+// SetReadDeadline sets the deadline, or an earlier one if the server has a shorter timeout
+// for the current phase.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if most := c.surface.patience(c.phase); most > 0 && !t.IsZero() {
-		if bound := time.Now().Add(most); bound.Before(t) {
+	if timeout := c.server.phaseTimeout(c.phase); timeout > 0 && !t.IsZero() {
+		if bound := time.Now().Add(timeout); bound.Before(t) {
 			t = bound
 		}
 	}
-	c.asked, c.short = t, false
+	c.readDeadline, c.shortened = t, false
 	return c.TCPConn.SetReadDeadline(t)
 }
 
 // Close closes the connection.
 func (c *conn) Close() error {
-	c.closed.Do(func() { c.surface.release(c) })
+	c.closed.Do(func() { c.server.untrack(c) })
 	return c.TCPConn.Close()
 }
 
-// enter takes over what the library tells of the connection.
-func (c *conn) enter(state http.ConnState) {
+// setState records the connection state that net/http reports.
+func (c *conn) setState(state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch state {
 	case http.StateActive:
 		c.phase = serving
 	case http.StateIdle:
-		c.phase, c.since = idle, time.Now()
+		c.phase, c.idleSince = idle, time.Now()
 	}
 }
 
-// endSpan is the deadline of a read that is to end: not yet over, so that a read which
-// begins after it was set still takes what has come.
-const endSpan = time.Millisecond
+// endDelay is the deadline of a read that is to end. It is slightly in the future, so that
+// a read that begins after it was set still returns data that has arrived.
+const endDelay = time.Millisecond
 
-// isKept reports whether the connection waits for its next request.
-func (c *conn) isKept() bool {
+// isIdle reports whether the connection waits for its next request.
+func (c *conn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase == idle
 }
 
-// endIdle ends the connection if it has been idle since a time.
+// endIdle ends the connection if it has been idle since the given time.
 func (c *conn) endIdle(since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase == idle && !c.since.After(since) {
+	if c.phase == idle && !c.idleSince.After(since) {
 		c.end()
 	}
 }
 
-// endUnasked ends the connection if nothing of a request was read.
-func (c *conn) endUnasked() {
+// endUnstarted ends the connection if nothing of a request was read.
+func (c *conn) endUnstarted() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase == idle || c.phase == fresh {
+	if c.phase == idle || c.phase == awaitingFirst {
 		c.end()
 	}
 }
 
-// end has the connection's read end, upon which the library closes it. Whatever is read
-// in the meantime is served, since heard gives it its deadline back. The lock is held.
+// end makes the connection's read end, after which net/http closes it. Whatever is read
+// before that is served, since requestStarted restores the deadline. The caller holds c.mu.
 func (c *conn) end() {
-	c.short = true
-	// A connection that takes no deadline is one that is closed.
-	_ = c.TCPConn.SetReadDeadline(time.Now().Add(endSpan))
+	c.shortened = true
+	// SetReadDeadline fails only if the connection is closed.
+	_ = c.TCPConn.SetReadDeadline(time.Now().Add(endDelay))
 }
--- a/modules/httpserve/doc.go
+++ b/modules/httpserve/doc.go
@@ -1,5 +1,6 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package httpserve opens HTTP surfaces with the limits against bad input.
+// Package httpserve is an HTTP server with limits against slow and oversized input, and a
+// graceful shutdown that loses no request.
 package httpserve
--- a/modules/httpserve/httpserve.go
+++ b/modules/httpserve/httpserve.go
@@ -20,26 +20,26 @@
 	"github.com/yardbridge/yardbridge/modules/inflight"
 )
 
-// Server is one HTTP address.
+// Server is an HTTP server on one address.
 type Server struct {
 	Handler        http.Handler
 	MaxHeaderBytes int
-	ReadTimeout    time.Duration // for headers and body
+	ReadTimeout    time.Duration // for the header and the body of a request
 	IdleTimeout    time.Duration // between requests, 0 for no limit
-	MaxConnections int           // at once, 0 for no limit
-	IdleGrace      time.Duration // that kept connections are waited for in a stop, 0 for a second
-	// CurrentTimeouts returns shorter times than those above for what comes from now on, 0 for
-	// those above; nil does so always.
+	MaxConnections int           // open connections, 0 for no limit
+	IdleGrace      time.Duration // how long Shutdown waits for requests on keep-alive connections, 0 for a second
+	// CurrentTimeouts returns shorter timeouts than those above for new requests, 0 for
+	// those above; nil always uses those above.
 	CurrentTimeouts func() (header, idle time.Duration)
 
-	server   *http.Server
-	listener *acceptor
-	requests context.Context // of requests
-	giveUp   context.CancelFunc
-	limit    atomic.Int64 // newer than Connections, 0 for none
-	closing  atomic.Bool
-	held     inflight.Counter // connections
-	ended    chan struct{}    // closed once no connection is accepted any more
+	server            *http.Server
+	listener          *listener
+	requestContext    context.Context // parent of the contexts of all requests
+	cancelRequests    context.CancelFunc
+	connectionLimit   atomic.Int64 // set by SetMaxConnections, 0 for none
+	disableKeepAlives atomic.Bool
+	openConns         inflight.Counter
+	acceptDone        chan struct{} // closed once no more connections are accepted
 
 	mu       sync.Mutex
 	conns    map[*conn]bool
@@ -47,35 +47,35 @@
 	stopping bool
 }
 
-// tooMany marks the connections beyond the limit.
-type tooMany struct{}
+// excessConnection is the context key that marks connections beyond the limit.
+type excessConnection struct{}
 
-// Listen opens the address and returns the one it got.
+// Listen opens the address and returns the bound one.
 func (s *Server) Listen(address string) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", errors.Trace(err)
 	}
-	s.listener = &acceptor{TCPListener: l.(*net.TCPListener), surface: s}
-	s.ended = make(chan struct{})
+	s.listener = &listener{TCPListener: l.(*net.TCPListener), server: s}
+	s.acceptDone = make(chan struct{})
 	s.conns = make(map[*conn]bool)
-	s.requests, s.giveUp = context.WithCancel(context.Background())
+	s.requestContext, s.cancelRequests = context.WithCancel(context.Background())
 	s.server = &http.Server{
 		Handler:           http.HandlerFunc(s.serve),
 		ReadHeaderTimeout: s.ReadTimeout,
 		IdleTimeout:       s.IdleTimeout,
 		MaxHeaderBytes:    s.MaxHeaderBytes,
-		ConnState:         enter,
-		ConnContext:       s.mark,
-		BaseContext:       func(net.Listener) context.Context { return s.requests },
+		ConnState:         setConnState,
+		ConnContext:       s.markExcess,
+		BaseContext:       func(net.Listener) context.Context { return s.requestContext },
 	}
 	return l.Addr().String(), nil
 }
 
-// enter tells a connection what the library tells of it.
-func enter(c net.Conn, state http.ConnState) { c.(*conn).enter(state) }
+// setConnState passes the state reported by net/http to the connection.
+func setConnState(c net.Conn, state http.ConnState) { c.(*conn).setState(state) }
 
-// Run serves until the surface is shut down.
+// Run serves until the server is shut down.
 func (s *Server) Run(context.Context) {
 	s.mu.Lock()
 	stopping := s.stopping
@@ -84,57 +84,57 @@
 	if stopping {
 		return
 	}
-	defer close(s.ended)
-	// Serve ends with an error in any case, when the surface is shut down.
+	defer close(s.acceptDone)
+	// Serve always returns an error, namely when the server is shut down.
 	_ = s.server.Serve(s.listener)
 }
 
-// The times of a stop.
+// Time limits of a shutdown.
 const (
-	// quietSpan is how long a kept connection is waited for, unless the surface says
-	// else, from the moment of the stop or its last answer, whichever is later: a
-	// request that was sent before has come by then, over any path that is in order,
-	// and one that comes is answered and told that the connection ends.
-	quietSpan = time.Second
-	// quietLook is how often kept connections are looked at during a stop.
-	quietLook = 20 * time.Millisecond
-	// lastSpan is for the answers of requests that were told to give up.
-	lastSpan = 300 * time.Millisecond
+	// defaultIdleGrace is how long an idle keep-alive connection is kept open, unless the
+	// server sets another time, from the shutdown or its last response, whichever is later.
+	// By then a request that was sent before has arrived over any working network path; a
+	// request that arrives is answered with Connection: close.
+	defaultIdleGrace = time.Second
+	// idlePollInterval is how often idle connections are checked during a shutdown.
+	idlePollInterval = 20 * time.Millisecond
+	// cancelGrace is for the responses to requests whose contexts were cancelled.
+	cancelGrace = 300 * time.Millisecond
 )
 
-// Shutdown returns once every connection has ended: with the answer to its request, if
-// one is under way or on its way on a fresh connection, and else after a time in which
-// none has come. It goes on listening until no kept connection is left, so that whoever
-// turns elsewhere and comes back here is served as well. The library's own Shutdown is not used: it
-// drops a request that it has read when it begins before the handler is called, and
-// closes kept connections while a request is on its way. Once the context ends,
-// requests are told to give up, and what has not ended soon after is cut off.
+// Shutdown returns once every connection has ended: with the response to its request, if
+// one is in progress or on its way on a new connection, and otherwise after a time in which
+// none has arrived. It keeps listening until no keep-alive connection is left, so that a
+// caller that reconnects here is still served. http.Server.Shutdown is not used, because it
+// drops a request that it has read if it begins before the handler is called, and closes
+// keep-alive connections while a request is on its way. When the context ends, requests are
+// cancelled, and connections that have not ended shortly after are closed.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.DisableKeepAlives()
-	s.awaitKept(ctx)
-	s.endListening(ctx)
-	defer s.giveUp()
-	if s.awaitEnds(ctx) {
+	s.awaitKeepAlives(ctx)
+	s.stopAccepting(ctx)
+	defer s.cancelRequests()
+	if s.awaitClosed(ctx) {
 		return nil
 	}
-	s.giveUp()
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastSpan)
+	s.cancelRequests()
+	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelGrace)
 	defer cancel()
-	if s.awaitEnds(last) {
+	if s.awaitClosed(last) {
 		return nil
 	}
-	left := s.open()
-	_ = s.Close() // there is nothing left to do about it
-	return errors.Errorf("%d connections were cut off: %v", left, context.Cause(ctx))
+	remaining := s.connectionCount()
+	_ = s.Close() // nothing can be done about an error here
+	return errors.Errorf("shutdown closed %d open connections: %v", remaining, context.Cause(ctx))
 }
 
-// awaitKept ends kept connections as they become quiet, and returns once there is none
-// or the context ends.
-func (s *Server) awaitKept(ctx context.Context) {
+// awaitKeepAlives closes keep-alive connections as their grace ends, and returns once there
+// are none or the context ends.
+func (s *Server) awaitKeepAlives(ctx context.Context) {
 	began := time.Now()
-	ticker := time.NewTicker(quietLook)
+	ticker := time.NewTicker(idlePollInterval)
 	defer ticker.Stop()
-	for s.endQuiet(began) > 0 {
+	for s.closeIdle(began) > 0 {
 		select {
 		case <-ctx.Done():
 			return
@@ -143,53 +143,53 @@
 	}
 }
 
-// endListening takes the connections that wait, and listens no more.
-func (s *Server) endListening(ctx context.Context) {
+// stopAccepting accepts the connections in the backlog and closes the listener.
+func (s *Server) stopAccepting(ctx context.Context) {
 	s.mu.Lock()
 	s.stopping = true
 	running := s.running
 	s.mu.Unlock()
 	if running {
-		// A listener that takes no deadline is closed.
+		// SetDeadline fails only if the listener is closed.
 		_ = s.listener.SetDeadline(time.Now())
 		select {
-		case <-s.ended:
+		case <-s.acceptDone:
 		case <-ctx.Done():
 		}
 	}
-	_ = s.listener.Close() // one that is closed already says so
+	_ = s.listener.Close() // it may be closed already
 }
 
-// awaitEnds ends connections as they become quiet, and returns whether all have ended
-// before the context does.
-func (s *Server) awaitEnds(ctx context.Context) bool {
-	began, gone := time.Now(), s.held.Idle()
-	ticker := time.NewTicker(quietLook)
+// awaitClosed closes idle connections as their grace ends, and reports whether all
+// connections have ended before the context does.
+func (s *Server) awaitClosed(ctx context.Context) bool {
+	began, closed := time.Now(), s.openConns.Idle()
+	ticker := time.NewTicker(idlePollInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-gone:
+		case <-closed:
 			return true
 		case <-ctx.Done():
 			return false
 		case <-ticker.C:
-			s.endQuiet(began)
+			s.closeIdle(began)
 		}
 	}
 }
 
-// endQuiet ends the kept connections on which nothing has come for long in a stop that
-// began at a time, and returns how many are kept. Once requests are told to give up, it
-// ends all on which nothing has come.
-func (s *Server) endQuiet(began time.Time) (kept int) {
-	since := time.Now().Add(-s.span())
+// closeIdle closes the keep-alive connections that have been idle long enough in a shutdown
+// that began at the given time, and returns how many there are. Once requests are
+// cancelled, it closes all connections without a request.
+func (s *Server) closeIdle(began time.Time) (kept int) {
+	since := time.Now().Add(-s.idleGrace())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		switch {
-		case s.requests.Err() != nil:
-			c.endUnasked()
-		case c.isKept():
+		case s.requestContext.Err() != nil:
+			c.endUnstarted()
+		case c.isIdle():
 			kept++
 			if !since.Before(began) {
 				c.endIdle(since)
@@ -199,81 +199,81 @@
 	return kept
 }
 
-// span returns how long kept connections are waited for.
-func (s *Server) span() time.Duration {
-	return cmp.Or(s.IdleGrace, quietSpan)
+// idleGrace returns how long Shutdown waits for requests on keep-alive connections.
+func (s *Server) idleGrace() time.Duration {
+	return cmp.Or(s.IdleGrace, defaultIdleGrace)
 }
 
-// Close ends the surface at once.
+// Close closes the server and its connections immediately.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	s.stopping = true
 	s.mu.Unlock()
-	s.giveUp()
-	_ = s.listener.Close() // one that is closed already says so
+	s.cancelRequests()
+	_ = s.listener.Close() // it may be closed already
 	if err := s.server.Close(); !stderrors.Is(err, net.ErrClosed) {
 		return errors.Trace(err)
 	}
 	return nil
 }
 
-// DisableKeepAlives lets each connection end with its next answer, so that callers turn
-// elsewhere without losing a request.
-func (s *Server) DisableKeepAlives() { s.closing.Store(true) }
+// DisableKeepAlives closes each connection after its next response, so that callers
+// reconnect elsewhere without losing a request.
+func (s *Server) DisableKeepAlives() { s.disableKeepAlives.Store(true) }
 
-// hold takes a connection that was accepted.
-func (s *Server) hold(raw *net.TCPConn) *conn {
-	c := &conn{TCPConn: raw, surface: s}
-	s.held.Begin()
+// track registers an accepted connection.
+func (s *Server) track(raw *net.TCPConn) *conn {
+	c := &conn{TCPConn: raw, server: s}
+	s.openConns.Begin()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = true
 	return c
 }
 
-// release gives a connection up that is closed.
-func (s *Server) release(c *conn) {
+// untrack unregisters a closed connection.
+func (s *Server) untrack(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
-	s.held.End()
+	s.openConns.End()
 }
 
-// open returns how many connections there are.
-func (s *Server) open() int {
+// connectionCount returns the number of open connections.
+func (s *Server) connectionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// patience returns the bound of what a connection waits for, 0 for none but the
-// server's.
-func (s *Server) patience(p phase) time.Duration {
+// phaseTimeout returns the timeout of a connection in a phase, 0 for none beyond that of
+// net/http.
+func (s *Server) phaseTimeout(p phase) time.Duration {
 	if s.CurrentTimeouts == nil || p == serving {
 		return 0
 	}
-	header, rest := s.CurrentTimeouts()
+	header, idleTimeout := s.CurrentTimeouts()
 	if p == idle {
-		return rest
+		return idleTimeout
 	}
 	return header
 }
 
-// SetMaxConnections sets how many connections there may be at once from now on.
-func (s *Server) SetMaxConnections(connections int) { s.limit.Store(int64(connections)) }
+// SetMaxConnections sets how many connections may be open from now on.
+func (s *Server) SetMaxConnections(connections int) { s.connectionLimit.Store(int64(connections)) }
 
-// most returns how many connections there may be at once, 0 for no limit.
-func (s *Server) most() int {
-	if newer := s.limit.Load(); newer > 0 {
+// maxConnections returns how many connections may be open, 0 for no limit.
+func (s *Server) maxConnections() int {
+	if newer := s.connectionLimit.Load(); newer > 0 {
 		return int(newer)
 	}
 	return s.MaxConnections
 }
 
-// mark tells a connection beyond the limit.
-func (s *Server) mark(ctx context.Context, _ net.Conn) context.Context {
-	if most := s.most(); most > 0 && s.open() > most {
-		return context.WithValue(ctx, tooMany{}, true)
+// markExcess marks the context of a connection beyond the limit.
+func (s *Server) markExcess(ctx context.Context, _ net.Conn) context.Context {
+	if limit := s.maxConnections(); limit > 0 && s.connectionCount() > limit {
+		return context.WithValue(ctx, excessConnection{}, true)
 	}
 	return ctx
 }
@@ -282,57 +282,57 @@
 	if r.ContentLength != 0 {
 		s.boundBody(w, r)
 	}
-	if r.Context().Value(tooMany{}) != nil {
+	if r.Context().Value(excessConnection{}) != nil {
 		w.Header().Set("Connection", "close")
-		errkind.Write(w, "", errkind.New(errkind.TooManyConnections, "%d connections are open, the most allowed", s.most()))
+		errkind.Write(w, "", errkind.New(errkind.TooManyConnections, "too many connections: %d are allowed", s.maxConnections()))
 		return
 	}
-	a := &answer{ResponseWriter: w, surface: s}
+	a := &responseWriter{ResponseWriter: w, server: s}
 	s.Handler.ServeHTTP(a, r)
-	a.begin() // for a handler that leaves the answer to the library
+	a.beforeHeader() // in case the handler wrote nothing
 }
 
-// answer is what a handler writes to; it tells at the last moment whether the
-// connection ends.
-type answer struct {
+// responseWriter is the http.ResponseWriter of handlers; it decides as late as possible
+// whether the connection is closed after the response.
+type responseWriter struct {
 	http.ResponseWriter
-	surface *Server
-	begun   bool
+	server  *Server
+	started bool
 }
 
-// WriteHeader begins the answer.
-func (a *answer) WriteHeader(status int) {
-	a.begin()
+// WriteHeader writes the response header.
+func (a *responseWriter) WriteHeader(status int) {
+	a.beforeHeader()
 	a.ResponseWriter.WriteHeader(status)
 }
 
-// Write begins the answer if that was not done, and writes.
-func (a *answer) Write(p []byte) (int, error) {
-	a.begin()
+// Write writes the response header if necessary, and the data.
+func (a *responseWriter) Write(p []byte) (int, error) {
+	a.beforeHeader()
 	return a.ResponseWriter.Write(p)
 }
 
-// begin says that the connection ends where the surface stops.
-func (a *answer) begin() {
-	if !a.begun && a.surface.closing.Load() {
+// beforeHeader sets Connection: close during a shutdown.
+func (a *responseWriter) beforeHeader() {
+	if !a.started && a.server.disableKeepAlives.Load() {
 		a.Header().Set("Connection", "close")
 	}
-	a.begun = true
+	a.started = true
 }
 
-// Unwrap is for the library's ResponseController.
-func (a *answer) Unwrap() http.ResponseWriter { return a.ResponseWriter }
+// Unwrap supports http.ResponseController.
+func (a *responseWriter) Unwrap() http.ResponseWriter { return a.ResponseWriter }
 
-// boundBody ends a body that comes too slowly with an error of its reader.
+// boundBody sets a read deadline, so that reading a slow body fails.
 func (s *Server) boundBody(w http.ResponseWriter, r *http.Request) {
 	control := http.NewResponseController(w)
-	// A connection without deadlines is one of a test.
+	// Only connections in tests have no deadlines.
 	_ = control.SetReadDeadline(time.Now().Add(s.ReadTimeout))
 	r.Body = &boundedBody{ReadCloser: r.Body, control: control}
 }
 
-// boundedBody takes the deadline off the connection at the body's end, since
-// the server goes on reading to learn whether the caller has gone away.
+// boundedBody removes the deadline from the connection at the end of the body, because
+// net/http keeps reading to detect that the caller has gone away.
 type boundedBody struct {
 	io.ReadCloser
 	control *http.ResponseController
--- a/modules/httpserve/httpserve_test.go
+++ b/modules/httpserve/httpserve_test.go
@@ -18,8 +18,8 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// start serves a surface that answers with the request's body, or with why it
-// could not be read.
+// start starts a server that responds with the request's body, or with the error of reading
+// it.
 func start(t *testing.T, s *Server) string {
 	t.Helper()
 	s.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -37,7 +37,7 @@
 	return address
 }
 
-// exchange sends raw text on a fresh connection, which stays open.
+// exchange sends raw text on a new connection, which stays open, and returns the response.
 func exchange(t *testing.T, address, text string) *http.Response {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -59,13 +59,13 @@
 	assert.Assert(t, second.Header.Get("Retry-After") != "")
 }
 
-func TestBodyThatDoesNotCome(t *testing.T) {
+func TestBodyTimeout(t *testing.T) {
 	address := start(t, &Server{ReadTimeout: 50 * time.Millisecond})
 	answer := exchange(t, address, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
 	assert.Equal(t, answer.Header.Get(errkind.HeaderKind), errkind.SlowRequest.String())
 }
 
-func TestRetiredSurfaceEndsConnections(t *testing.T) {
+func TestDisableKeepAlives(t *testing.T) {
 	s := &Server{ReadTimeout: time.Minute}
 	address := start(t, s)
 	s.DisableKeepAlives()
@@ -73,31 +73,31 @@
 	assert.Assert(t, answer.Close, "the connection stays open")
 }
 
-// TestShutdownLetsTheFirstRequestCome: a caller whose connection was taken gets
-// its answer, however long its first request is on its way.
-func TestShutdownLetsTheFirstRequestCome(t *testing.T) {
+// TestShutdownWaitsForFirstRequest guards against a shutdown that closes an accepted
+// connection before its first request has arrived, however long that takes.
+func TestShutdownWaitsForFirstRequest(t *testing.T) {
 	s := &Server{ReadTimeout: time.Minute}
 	address := start(t, s)
 	c, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	defer c.Close()
-	for s.open() == 0 {
+	for s.connectionCount() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	// The library takes a fresh connection for idle once it is old enough.
+	// net/http treats a new connection as idle once it is old enough.
 	ended := make(chan error, 1)
-	stop := stopping{s, ended}
+	stop := pendingShutdown{s, ended}
 	go stop.run()
 	for {
 		probe, err := net.Dial("tcp", address)
 		if err != nil {
-			break // it listens no more
+			break // the listener is closed
 		}
 		_ = probe.Close()
 	}
 	select {
-	case <-s.held.Idle():
-		t.Fatal("a connection whose request has not come does not count")
+	case <-s.openConns.Idle():
+		t.Fatal("a connection whose request has not arrived is not counted")
 	default:
 	}
 	_, err = fmt.Fprint(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -109,10 +109,10 @@
 	assert.NilError(t, <-ended)
 }
 
-// stopping is a planned stop under way.
-type stopping struct {
+// pendingShutdown is a shutdown in progress.
+type pendingShutdown struct {
 	s     *Server
 	ended chan error
 }
 
-func (p stopping) run() { p.ended <- p.s.Shutdown(context.Background()) }
+func (p pendingShutdown) run() { p.ended <- p.s.Shutdown(context.Background()) }
