--- a/modules/rpcconn/server_test.go
+++ b/modules/rpcconn/server_test.go
@@ -16,8 +16,8 @@
 	"github.com/yardbridge/yardbridge/modules/log"
 )
 
-// serveBounded serves with bounds and returns the address.
-func serveBounded(t *testing.T, s *Server) string {
+// serveWithLimits starts a server with the given limits and returns its address.
+func serveWithLimits(t *testing.T, s *Server) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -33,8 +33,8 @@
 	return l.Addr().String()
 }
 
-// ended waits until the server closes a connection.
-func ended(t *testing.T, c net.Conn) {
+// awaitClose waits until the server closes a connection.
+func awaitClose(t *testing.T, c net.Conn) {
 	t.Helper()
 	assert.NilError(t, c.SetReadDeadline(time.Now().Add(20*time.Second)))
 	_, err := c.Read(make([]byte, 1))
@@ -42,49 +42,49 @@
 	assert.Assert(t, err != nil && (!is || !timeout.Timeout()), "the connection stays open: %v", err)
 }
 
-// TestAConnectionThatBringsNothingIsClosed: one that fell silent, or was opened and
-// never used, gives its room back.
-func TestAConnectionThatBringsNothingIsClosed(t *testing.T) {
-	address := serveBounded(t, &Server{IdleTimeout: 50 * time.Millisecond})
+// TestIdleConnectionIsClosed: a connection that becomes unresponsive, or is never used,
+// must not count against the connection limit for ever.
+func TestIdleConnectionIsClosed(t *testing.T) {
+	address := serveWithLimits(t, &Server{IdleTimeout: 50 * time.Millisecond})
 	c, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	defer c.Close()
-	ended(t, c)
+	awaitClose(t, c)
 }
 
-// TestConnectionsAreBoundedInNumber: one beyond the bound is closed, and room that is
-// given back is used again.
-func TestConnectionsAreBoundedInNumber(t *testing.T) {
-	address := serveBounded(t, &Server{MaxConnections: 1})
+// TestMaxConnections: a connection beyond the limit is closed, and a slot that becomes free
+// is used again.
+func TestMaxConnections(t *testing.T) {
+	address := serveWithLimits(t, &Server{MaxConnections: 1})
 	logger := log.Nop()
 	var dialer net.Dialer
-	table := &Client{Logger: &logger, Dial: func(ctx context.Context, address string) (net.Conn, error) {
+	client := &Client{Logger: &logger, Dial: func(ctx context.Context, address string) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	}}
 	var nothing struct{}
-	assert.NilError(t, table.Call(t.Context(), address, "work", struct{}{}, &nothing))
-	beyond, err := net.Dial("tcp", address)
+	assert.NilError(t, client.Call(t.Context(), address, "work", struct{}{}, &nothing))
+	excess, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
-	defer beyond.Close()
-	ended(t, beyond)
-	table.Close()
-	for { // until the server has seen that the first has gone
-		if table.Call(t.Context(), address, "work", struct{}{}, &nothing) == nil {
+	defer excess.Close()
+	awaitClose(t, excess)
+	client.Close()
+	for { // until the server has noticed that the first is closed
+		if client.Call(t.Context(), address, "work", struct{}{}, &nothing) == nil {
 			break
 		}
 	}
-	table.Close()
+	client.Close()
 }
 
-// TestAConnectionThatIsNeverSecuredGivesItsRoomBack: one whose far end says nothing
-// while it is made ready for use is closed as one that brings nothing later.
-func TestAConnectionThatIsNeverSecuredGivesItsRoomBack(t *testing.T) {
-	address := serveBounded(t, &Server{IdleTimeout: 50 * time.Millisecond, Wrap: func(ctx context.Context, raw net.Conn) (net.Conn, error) {
+// TestHandshakeTimeout: a connection whose peer sends nothing during the handshake is
+// closed like an idle one.
+func TestHandshakeTimeout(t *testing.T) {
+	address := serveWithLimits(t, &Server{IdleTimeout: 50 * time.Millisecond, Wrap: func(ctx context.Context, raw net.Conn) (net.Conn, error) {
 		secure := tls.Server(raw, &tls.Config{MinVersion: tls.VersionTLS13})
 		return secure, secure.HandshakeContext(ctx)
 	}})
 	c, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	defer c.Close()
-	ended(t, c)
+	awaitClose(t, c)
 }
--- a/modules/rpcconn/watch.go
+++ b/modules/rpcconn/watch.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// methodPing is answered by every server of this package, with nothing.
+// methodPing is handled by every Server of this package; its result is empty.
 const methodPing = "rpc.ping"
 
-// watch looks after a call that waits: where its connection does not answer a
-// question, a fresh one is asked.
+// watch monitors a waiting call. If its connection does not respond to a ping, it pings
+// over a new connection.
 type watch struct {
-	peer  *peer
-	ctx   context.Context
-	heard uint64        // what had come on the connection when it was looked at last
-	wait  time.Duration // until the next look
-	began time.Time
+	peer      *peer
+	ctx       context.Context
+	reads     uint64        // reads on the connection at the last check
+	interval  time.Duration // until the next check
+	startedAt time.Time
 
 	mu    sync.Mutex
 	timer *time.Timer // nil once the call has ended
 }
 
-// watch begins to look after a call, and returns nil for one whose limit leaves no
-// time to find out that its connection is silent: it ends the connection by itself.
+// watch starts to monitor a call. It returns nil for a call whose timeout is too short to
+// find out that the connection is unresponsive; such a call closes the connection itself.
 func (p *peer) watch(ctx context.Context, began time.Time) *watch {
-	patience := p.repeats.RetryDelay()
-	if limit, has := ctx.Deadline(); has && limit.Sub(began) < patience+pingGrace {
+	delay := p.retryPolicy.RetryDelay()
+	if limit, has := ctx.Deadline(); has && limit.Sub(began) < delay+pingGrace {
 		return nil
 	}
-	w := &watch{peer: p, ctx: ctx, heard: p.conn.ReadCount(), wait: patience, began: began}
+	w := &watch{peer: p, ctx: ctx, reads: p.conn.ReadCount(), interval: delay, startedAt: began}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(w.wait, w.look)
+	w.timer = time.AfterFunc(w.interval, w.check)
 	return w
 }
 
-// end ends the looking.
+// end stops the monitoring.
 func (w *watch) end() {
 	if w == nil {
 		return
@@ -50,90 +50,92 @@
 	w.timer = nil
 }
 
-// look asks a fresh connection where nothing has come, and looks again later, each
-// time after twice as long: a far end that is slow is not asked over and over.
-func (w *watch) look() {
-	if heard := w.peer.conn.ReadCount(); heard != w.heard {
-		w.heard = heard
-	} else if w.peer.asked.CompareAndSwap(false, true) {
+// check pings if nothing was received, and schedules the next check after twice the time,
+// so that a slow peer is not pinged over and over.
+func (w *watch) check() {
+	if reads := w.peer.conn.ReadCount(); reads != w.reads {
+		w.reads = reads
+	} else if w.peer.probing.CompareAndSwap(false, true) {
 		if !w.alive() {
-			w.ask()
+			w.replaceConn()
 		}
-		w.peer.asked.Store(false)
+		w.peer.probing.Store(false)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.timer != nil {
-		w.wait *= 2
-		w.timer.Reset(w.wait)
+		w.interval *= 2
+		w.timer.Reset(w.interval)
 	}
 }
 
-// pingGrace is how long a connection has to answer a question before a fresh one is
-// asked too: some ten times what a node takes that is short of processor time.
+// pingGrace is how long a connection has to respond to a ping before a new connection is
+// tried: some ten times what a node short of CPU time takes.
 const pingGrace = 150 * time.Millisecond
 
-// alive asks on the connection itself: a call may take long on one that works.
+// alive pings on the connection itself, because a call may take long on a working
+// connection.
 func (w *watch) alive() bool {
 	err := w.peer.ping(w.ctx, pingGrace)
-	return err == nil || w.peer.conn.ReadCount() != w.heard
+	return err == nil || w.peer.conn.ReadCount() != w.reads
 }
 
-// ping asks whether the far end is there. The library does not look at the context
-// before it has written the question, which on a connection that takes nothing ends only
-// when that is closed.
+// ping checks whether the peer responds. The library checks the context only after it has
+// written the ping, and on a connection whose writes block that ends only when the
+// connection is closed.
 func (p *peer) ping(ctx context.Context, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	q := &question{peer: p, answer: make(chan error, 1)}
+	q := &probe{peer: p, result: make(chan error, 1)}
 	go q.run(ctx)
 	select {
-	case err := <-q.answer:
+	case err := <-q.result:
 		return err
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 }
 
-// question is one whether a far end is there.
-type question struct {
+// probe is one ping in progress.
+type probe struct {
 	peer   *peer
-	answer chan error
+	result chan error
 }
 
-// run asks.
-func (q *question) run(ctx context.Context) {
+// run sends the ping.
+func (q *probe) run(ctx context.Context) {
 	var nothing struct{}
-	q.answer <- q.peer.rpc.Call(ctx, methodPing, nothing, &nothing)
+	q.result <- q.peer.rpc.Call(ctx, methodPing, nothing, &nothing)
 }
 
-// ask puts a fresh connection in the place of one that has fallen silent: it has
-// answered, and nothing has come on the older one.
-func (w *watch) ask() {
-	p, t := w.peer, w.peer.table
+// replaceConn replaces an unresponsive connection by a new one, if the peer responds on the
+// new one while nothing was received on the old one.
+func (w *watch) replaceConn() {
+	p, c := w.peer, w.peer.client
 	ctx, cancel := context.WithTimeout(w.ctx, pingTimeout)
 	defer cancel()
-	fresh, err := t.open(ctx, p.address)
+	fresh, err := c.open(ctx, p.address)
 	if err != nil {
-		return // the far end itself can't be reached; the call's own limit tells
+		return // the peer itself cannot be reached; the call's own timeout reports it
 	}
-	if err := fresh.ping(ctx, pingTimeout); err != nil || p.conn.ReadCount() != w.heard {
-		_ = fresh.rpc.Close() // the same, or the older connection works
+	if err := fresh.ping(ctx, pingTimeout); err != nil || p.conn.ReadCount() != w.reads {
+		_ = fresh.rpc.Close() // the peer is unresponsive too, or the old connection works
 		return
 	}
-	t.mu.Lock()
-	if t.peers[p.address] == p {
-		t.put(fresh)
+	c.mu.Lock()
+	if c.peers[p.address] == p {
+		c.register(fresh)
 	} else {
 		defer fresh.rpc.Close() //nolint:errcheck // another connection is in use already
 	}
-	t.mu.Unlock()
-	// It is told before the calls that wait end, so that who has got such an end finds it told.
-	t.Logger.Warn().Str("event", "silent").Str("to", "process").Str("address", p.address).Dur("after", time.Since(w.began)).
-		Msg("a connection had fallen silent and was replaced by a fresh one, which works")
-	if t.OnUnresponsive != nil {
-		t.OnUnresponsive(p.address, time.Since(w.began))
+	c.mu.Unlock()
+	// Report it before the waiting calls end, so that a caller whose call ends finds it
+	// reported.
+	c.Logger.Warn().Str("event", "silent").Str("to", "process").Str("address", p.address).Dur("after", time.Since(w.startedAt)).
+		Msg("replaced an unresponsive connection with a new one")
+	if c.OnUnresponsive != nil {
+		c.OnUnresponsive(p.address, time.Since(w.startedAt))
 	}
 	p.conn.Reset()
-	_ = p.rpc.Close() // calls that wait on it end
+	_ = p.rpc.Close() // ends the calls that wait on it
 }
