--- a/modules/httpconn/body_test.go
+++ b/modules/httpconn/body_test.go
@@ -14,57 +14,58 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowly answers with a body of parts that come one after the other, and stops for good
+// serveChunks responds with a body whose chunks are sent one after the other, and stalls
 // after some of them.
-func slowly(t *testing.T, parts, comes int) *Client {
+func serveChunks(t *testing.T, parts, sent int) *Client {
 	t.Helper()
-	over := make(chan struct{})
+	done := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Length", strconv.Itoa(parts*bodyPart))
-		for range comes {
-			_, _ = w.Write(make([]byte, bodyPart))
+		w.Header().Set("Content-Length", strconv.Itoa(parts*bodyChunk))
+		for range sent {
+			_, _ = w.Write(make([]byte, bodyChunk))
 			w.(http.Flusher).Flush()
-			time.Sleep(partPause)
+			time.Sleep(chunkPause)
 		}
-		if comes < parts {
-			<-over
+		if sent < parts {
+			<-done
 		}
 	}))
 	t.Cleanup(func() {
-		close(over)
+		close(done)
 		server.CloseClientConnections()
 		server.Close()
 	})
 	return &Client{Address: server.Listener.Addr().String()}
 }
 
-// partPause is from one part to the next, as on a link that is full.
-const partPause = 100 * time.Millisecond
+// chunkPause is the time between two chunks, as on a saturated link.
+const chunkPause = 100 * time.Millisecond
 
-// TestALongBodyIsWaitedForWhileItComes: the records of a pool come over a full link for
-// longer than a call to the store may take; given up, they would never come.
-func TestALongBodyIsWaitedForWhileItComes(t *testing.T) {
+// TestLongBodyMayExceedTimeout: the records of a pool take longer over a saturated link
+// than the timeout of a call to the store; if such responses were cut off, they could never
+// be read.
+func TestLongBodyMayExceedTimeout(t *testing.T) {
 	const parts = 12
-	r, err := slowly(t, parts, parts).Do(t.Context(), Request{Method: http.MethodGet, Path: "/"}, 3*partPause)
+	r, err := serveChunks(t, parts, parts).Do(t.Context(), Request{Method: http.MethodGet, Path: "/"}, 3*chunkPause)
 	assert.NilError(t, err)
-	assert.Equal(t, len(r.Body), parts*bodyPart)
+	assert.Equal(t, len(r.Body), parts*bodyChunk)
 }
 
-// TestABodyThatStopsIsGivenUp: what has begun to come and comes no more has the time of
-// one part.
-func TestABodyThatStopsIsGivenUp(t *testing.T) {
+// TestStalledBodyTimesOut: a body that stalls times out after the time for one chunk.
+func TestStalledBodyTimesOut(t *testing.T) {
 	began := time.Now()
-	_, err := slowly(t, 12, 3).Do(t.Context(), Request{Method: http.MethodGet, Path: "/"}, 3*partPause)
+	_, err := serveChunks(t, 12, 3).Do(t.Context(), Request{Method: http.MethodGet, Path: "/"}, 3*chunkPause)
 	assert.Assert(t, err != nil)
-	assert.Assert(t, time.Since(began) < 10*partTime, "%s", time.Since(began))
+	assert.Assert(t, time.Since(began) < 10*chunkTimeout, "%s", time.Since(began))
 }
 
-// TestALongBodyEndsWithItsCaller: nobody waits for it any more.
-func TestALongBodyEndsWithItsCaller(t *testing.T) {
-	ctx, cancel := context.WithTimeout(t.Context(), 2*partPause)
+// TestLongBodyEndsWithContext: a long body is not read on after the caller's context has
+// ended.
+func TestLongBodyEndsWithContext(t *testing.T) {
+	ctx, cancel := context.WithTimeout(t.Context(), 2*chunkPause)
 	defer cancel()
 	began := time.Now()
-	_, err := slowly(t, 100, 100).Do(ctx, Request{Method: http.MethodGet, Path: "/"}, time.Minute)
+	_, err := serveChunks(t, 100, 100).Do(ctx, Request{Method: http.MethodGet, Path: "/"}, time.Minute)
 	assert.Assert(t, err != nil)
 	assert.Assert(t, time.Since(began) < 5*time.Second, "%s", time.Since(began))
 }
--- a/modules/httpconn/doc.go
+++ b/modules/httpconn/doc.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package httpconn calls one HTTP/1.1 address over few kept channels, with the
-// request and response of net/http and without its goroutines: a call costs one
+// Package httpconn is an HTTP/1.1 client for one address with few persistent connections.
+// It uses the request and response of net/http but not its goroutines: a call costs one
 // write and one read, and its outcome is known exactly.
 package httpconn
--- a/modules/httpconn/httpconn.go
+++ b/modules/httpconn/httpconn.go
@@ -17,27 +17,27 @@
 	"github.com/yardbridge/yardbridge/modules/silence"
 )
 
-// dialTimeout bounds the time to open a channel. Across data centres it takes
-// a few milliseconds; an opening packet that a full queue drops goes again after
-// a second, which is longer than a caller here waits.
+// dialTimeout bounds the time to open a connection. Across data centres it takes a few
+// milliseconds; a SYN that a full queue drops is sent again after a second, which is longer
+// than callers here wait.
 const dialTimeout = 700 * time.Millisecond
 
-// Client calls one address; the zero value with an address works.
+// Client calls one address; the zero value with an address is ready for use.
 type Client struct {
 	Address string // IP and port
-	MaxIdle int    // channels kept open without a call, 0 for one
-	// OnUnresponsive is told how many channels were found silent together, and since when they
-	// had been at least; nil tells nobody.
+	MaxIdle int    // idle connections to keep, 0 for one
+	// OnUnresponsive is called with the number of connections that were found unresponsive
+	// together, and the least time for which they had been; nil ignores them.
 	OnUnresponsive func(n int, after time.Duration)
-	// OnRetry is told of each call that was to be made again, and whether the budget
-	// let it; nil tells nobody.
+	// OnRetry is called for each call that would be retried, with whether the budget
+	// allowed it; nil ignores them.
 	OnRetry func(allowed bool)
 
-	end     silence.Endpoint
-	repeats silence.RetryPolicy
+	endpoint    silence.Endpoint
+	retryPolicy silence.RetryPolicy
 
 	mu     sync.Mutex
-	idle   []*channel
+	idle   []*persistConn
 	closed bool
 }
 
@@ -47,121 +47,122 @@
 	Path   string // with the query
 	Header http.Header
 	Body   []byte
-	// Idempotent says that the call may be made twice: where an older channel brings
-	// no answer it is made again over a fresh one.
+	// Idempotent means that the call may be made twice: if it gets no response on a reused
+	// connection, it is retried over a new one.
 	Idempotent bool
-	// ServerWait is how long the far end may hold its answer back, as it was asked to.
+	// ServerWait is how long the server may delay its response, as the request asks it to.
 	ServerWait time.Duration
 }
 
-// Response is the answer to a call.
+// Response is the response to a call.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Do makes a call within the timeout. An error of the kind NoTarget says that
-// nothing was sent, any other that the call may have been taken.
+// Do makes a call within the timeout. A NoTarget error means that nothing was sent; after
+// any other error the call may have been received.
 func (c *Client) Do(ctx context.Context, r Request, timeout time.Duration) (Response, error) {
 	began := time.Now()
-	ch, err := c.take(ctx, r)
+	pc, err := c.acquire(ctx, r)
 	if err != nil {
 		return Response{}, errkind.New(errkind.NoTarget, "%s: %v", c.Address, err)
 	}
 	limit := timeout
-	due := r.ServerWait + c.repeats.RetryDelay()
-	if r.Idempotent && ch.used {
+	due := r.ServerWait + c.retryPolicy.RetryDelay()
+	if r.Idempotent && pc.reused {
 		limit = min(timeout, due)
 	}
-	ch.conn.ExpectResponse(began.Add(due))
-	response, keep, err := ch.do(ctx, c.Address, r, began.Add(limit))
+	pc.conn.ExpectResponse(began.Add(due))
+	response, keep, err := pc.do(ctx, c.Address, r, began.Add(limit))
 	if err == nil {
-		c.answered(ch, keep, r, began)
+		c.finish(pc, keep, r, began)
 		return response, nil
 	}
-	ch.conn.Reset()
-	older := ch.used || ch.conn.Unresponsive() // the channel may be at fault, and not the far end
-	if older && r.Idempotent && ctx.Err() == nil && time.Since(began) < timeout && c.mayRepeat() {
-		return c.again(ctx, r, began, limit, timeout)
+	pc.conn.Reset()
+	maybeStale := pc.reused || pc.conn.Unresponsive() // the connection may be the cause, not the server
+	if maybeStale && r.Idempotent && ctx.Err() == nil && time.Since(began) < timeout && c.mayRetry() {
+		return c.retry(ctx, r, began, limit, timeout)
 	}
-	return Response{}, unknown(r, c.Address, err)
+	return Response{}, unknownOutcome(r, c.Address, err)
 }
 
-// again makes a call once more, over a fresh channel, that got no answer on an older
-// one. Where that one was waited on for a whole limit, an answer now tells that the
-// older channels have fallen silent.
-func (c *Client) again(ctx context.Context, r Request, began time.Time, limit, timeout time.Duration) (Response, error) {
+// retry makes a call again over a new connection, after it got no response on a reused one.
+// If the call had waited for a whole timeout there, a response now shows that the older
+// connections are unresponsive.
+func (c *Client) retry(ctx context.Context, r Request, began time.Time, limit, timeout time.Duration) (Response, error) {
 	resent := time.Now()
 	waited := resent.Sub(began) >= limit
-	ch, err := c.open(ctx)
+	pc, err := c.open(ctx)
 	if err != nil {
-		return Response{}, unknown(r, c.Address, err) // the first try may have been taken
+		return Response{}, unknownOutcome(r, c.Address, err) // the first attempt may have been received
 	}
-	ch.conn.ExpectResponse(resent.Add(r.ServerWait + c.repeats.RetryDelay()))
-	response, keep, err := ch.do(ctx, c.Address, r, began.Add(timeout))
+	pc.conn.ExpectResponse(resent.Add(r.ServerWait + c.retryPolicy.RetryDelay()))
+	response, keep, err := pc.do(ctx, c.Address, r, began.Add(timeout))
 	if err != nil {
-		ch.conn.Reset()
-		return Response{}, unknown(r, c.Address, err)
+		pc.conn.Reset()
+		return Response{}, unknownOutcome(r, c.Address, err)
 	}
-	c.repeats.RecordRetryResponse(resent, r.ServerWait)
+	c.retryPolicy.RecordRetryResponse(resent, r.ServerWait)
 	if waited {
-		c.found(1+c.end.ResetOlder(ch.conn), began) // the first channel is closed already
+		c.reportUnresponsive(1+c.endpoint.ResetOlder(pc.conn), began) // the first connection is closed already
 	}
-	c.answered(ch, keep, r, resent)
+	c.finish(pc, keep, r, resent)
 	return response, nil
 }
 
-// answered keeps a channel whose call was answered for the next one.
-func (c *Client) answered(ch *channel, keep bool, r Request, began time.Time) {
-	c.repeats.RecordResponse(began, r.ServerWait)
-	ch.conn.ClearExpected()
-	c.put(ch, keep)
+// finish records a response and keeps its connection for the next call.
+func (c *Client) finish(pc *persistConn, keep bool, r Request, began time.Time) {
+	c.retryPolicy.RecordResponse(began, r.ServerWait)
+	pc.conn.ClearExpected()
+	c.release(pc, keep)
 }
 
-func unknown(r Request, address string, err error) error {
+func unknownOutcome(r Request, address string, err error) error {
 	return errkind.New(errkind.OutcomeUnknown, "%s %s at %s: %v", r.Method, r.Path, address, err)
 }
 
-// mayRepeat reports whether the budget lets a call be made again.
-func (c *Client) mayRepeat() bool {
-	allowed := c.repeats.Spend()
+// mayRetry reports whether the budget allows to retry a call.
+func (c *Client) mayRetry() bool {
+	allowed := c.retryPolicy.Spend()
 	if c.OnRetry != nil {
 		c.OnRetry(allowed)
 	}
 	return allowed
 }
 
-// found tells of channels that were found silent.
-func (c *Client) found(n int, began time.Time) {
+// reportUnresponsive reports connections that were found unresponsive.
+func (c *Client) reportUnresponsive(n int, began time.Time) {
 	if c.OnUnresponsive != nil {
 		c.OnUnresponsive(n, time.Since(began))
 	}
 }
 
-// take returns an idle channel or a fresh one. Before a call that may not be made twice it is
-// looked whether the far end has ended the channel: the call's outcome would be unknown.
-func (c *Client) take(ctx context.Context, r Request) (*channel, error) {
+// acquire returns an idle connection or a new one. Before a call that is not idempotent it
+// checks whether the server has closed the connection, because the outcome of the call
+// would be unknown.
+func (c *Client) acquire(ctx context.Context, r Request) (*persistConn, error) {
 	for {
-		ch, err := c.takeIdle()
+		pc, err := c.popIdle()
 		if err != nil {
 			return nil, err
 		}
 		switch {
-		case ch == nil:
+		case pc == nil:
 			return c.open(ctx)
-		case ch.conn.Unresponsive():
-		case !r.Idempotent && ch.conn.RemoteClosed():
-			_ = ch.conn.Close() // nothing is under way on it
+		case pc.conn.Unresponsive():
+		case !r.Idempotent && pc.conn.RemoteClosed():
+			_ = pc.conn.Close() // no call is in progress on it
 		default:
-			ch.used = true
-			return ch, nil
+			pc.reused = true
+			return pc, nil
 		}
 	}
 }
 
-// takeIdle returns an idle channel, nil for none.
-func (c *Client) takeIdle() (*channel, error) {
+// popIdle returns an idle connection, nil if there is none.
+func (c *Client) popIdle() (*persistConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -171,42 +172,42 @@
 	if n == 0 {
 		return nil, nil
 	}
-	ch := c.idle[n-1]
+	pc := c.idle[n-1]
 	c.idle = c.idle[:n-1]
-	return ch, nil
+	return pc, nil
 }
 
-// open returns a fresh channel.
-func (c *Client) open(ctx context.Context) (*channel, error) {
+// open opens a new connection.
+func (c *Client) open(ctx context.Context) (*persistConn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", c.Address)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	conn := c.end.Track(raw)
-	return &channel{conn: conn, in: bufio.NewReaderSize(conn, bufferBytes), out: bufio.NewWriterSize(conn, bufferBytes)}, nil
+	conn := c.endpoint.Track(raw)
+	return &persistConn{conn: conn, in: bufio.NewReaderSize(conn, bufferBytes), out: bufio.NewWriterSize(conn, bufferBytes)}, nil
 }
 
-// put keeps a channel for the next call, or closes it.
-func (c *Client) put(ch *channel, keep bool) {
+// release keeps a connection for the next call, or closes it.
+func (c *Client) release(pc *persistConn, keep bool) {
 	c.mu.Lock()
 	keep = keep && !c.closed && len(c.idle) < max(c.MaxIdle, 1)
 	if keep {
-		c.idle = append(c.idle, ch)
+		c.idle = append(c.idle, pc)
 	}
 	c.mu.Unlock()
 	if !keep {
-		_ = ch.conn.Close()
+		_ = pc.conn.Close()
 	}
 }
 
-// Close closes the idle channels; calls under way end by themselves.
+// Close closes the idle connections; calls in progress are not interrupted.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	for _, ch := range c.idle {
-		_ = ch.conn.Close()
+	for _, pc := range c.idle {
+		_ = pc.conn.Close()
 	}
 	c.idle = nil
 }
--- a/modules/httpconn/httpconn_test.go
+++ b/modules/httpconn/httpconn_test.go
@@ -17,28 +17,28 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// TestRequestThatWasGivenUpIsNotReadLater: the far end takes a connection and reads
-// nothing until the caller has given up. It must not find a whole request then, as
-// if somebody still wanted it.
-func TestRequestThatWasGivenUpIsNotReadLater(t *testing.T) {
+// TestTimedOutRequestIsNotDelivered: the server accepts a connection but reads nothing
+// until the call has timed out. It must not then read a complete request that nobody waits
+// for.
+func TestTimedOutRequestIsNotDelivered(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
 	c := &Client{Address: l.Addr().String()}
 	_, err = c.Do(context.Background(), Request{Method: http.MethodPost, Path: "/begin", Body: []byte("a task")}, 50*time.Millisecond)
 	assert.Assert(t, errkind.Is(err, errkind.OutcomeUnknown), "%v", err)
-	far, err := l.Accept()
+	remote, err := l.Accept()
 	assert.NilError(t, err)
-	defer far.Close()
-	assert.NilError(t, far.SetReadDeadline(time.Now().Add(10*time.Second)))
-	text, err := io.ReadAll(far)
-	assert.Assert(t, err != nil, "the request is read after it was given up: %q", text)
+	defer remote.Close()
+	assert.NilError(t, remote.SetReadDeadline(time.Now().Add(10*time.Second)))
+	text, err := io.ReadAll(remote)
+	assert.Assert(t, err != nil, "the request was read after its timeout: %q", text)
 }
 
-// TestChannelThatHasEndedCarriesNoCall: the far end has closed an idle channel before a call that
-// may not be made twice. The call goes over a fresh one, and its outcome is known: sent on the
-// one that has ended it would be unknown, though nobody can have read it.
-func TestChannelThatHasEndedCarriesNoCall(t *testing.T) {
+// TestClosedIdleConnectionIsNotUsed: the server has closed an idle connection before a call
+// that is not idempotent. The call must go over a new connection: on the closed one its
+// outcome would be unknown, although the server cannot have read it.
+func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	served := 0
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { served++ }))
 	defer s.Close()
@@ -49,10 +49,10 @@
 		_, err := c.Do(context.Background(), Request{Method: http.MethodPost, Path: "/begin", Body: []byte("a task")}, 10*time.Second)
 		assert.NilError(t, err, "call %d", n)
 		s.CloseClientConnections()
-		time.Sleep(endSeen)
+		time.Sleep(closeDelay)
 	}
 	assert.Equal(t, served, calls)
 }
 
-// endSeen is within which time the end of a connection on one machine is seen.
-const endSeen = 50 * time.Millisecond
+// closeDelay is within which time the close of a connection on the same machine is noticed.
+const closeDelay = 50 * time.Millisecond
--- a/modules/httpconn/silence_test.go
+++ b/modules/httpconn/silence_test.go
@@ -17,69 +17,69 @@
 	"gotest.tools/v3/assert"
 )
 
-// quiet is a listener whose connections can all fall silent at once: what comes on
-// them is taken and never answered, while new ones work.
-type quiet struct {
+// blackholeListener is a listener whose connections can all become unresponsive at once:
+// what is received on them is discarded, while new ones work.
+type blackholeListener struct {
 	net.Listener
-	mu    sync.Mutex
-	conns []*quietConn
-	opens atomic.Int64
+	mu       sync.Mutex
+	conns    []*blackholeConn
+	accepted atomic.Int64
 }
 
-type quietConn struct {
+type blackholeConn struct {
 	net.Conn
-	silent atomic.Bool
-	ended  chan struct{}
-	once   sync.Once
+	blackholed atomic.Bool
+	closed     chan struct{}
+	once       sync.Once
 }
 
-func (l *quiet) Accept() (net.Conn, error) {
+func (l *blackholeListener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	l.opens.Add(1)
-	c := &quietConn{Conn: raw, ended: make(chan struct{})}
+	l.accepted.Add(1)
+	c := &blackholeConn{Conn: raw, closed: make(chan struct{})}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns = append(l.conns, c)
 	return c, nil
 }
 
-func (l *quiet) fall() {
+func (l *blackholeListener) blackhole() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range l.conns {
-		c.silent.Store(true)
+		c.blackholed.Store(true)
 	}
 }
 
-func (c *quietConn) Read(p []byte) (int, error) {
+func (c *blackholeConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if !c.silent.Load() {
+	if !c.blackholed.Load() {
 		return n, err
 	}
-	<-c.ended
+	<-c.closed
 	return 0, io.EOF
 }
 
-func (c *quietConn) Write(p []byte) (int, error) {
-	if c.silent.Load() {
+func (c *blackholeConn) Write(p []byte) (int, error) {
+	if c.blackholed.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-func (c *quietConn) Close() error {
-	c.once.Do(func() { close(c.ended) })
+func (c *blackholeConn) Close() error {
+	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-// serveQuiet serves a handler on connections that can fall silent.
-func serveQuiet(t *testing.T, h http.HandlerFunc) *quiet {
+// serveBlackhole serves a handler on connections that can become unresponsive.
+func serveBlackhole(t *testing.T, h http.HandlerFunc) *blackholeListener {
 	t.Helper()
 	s := httptest.NewUnstartedServer(h)
-	l := &quiet{Listener: s.Listener}
+	l := &blackholeListener{Listener: s.Listener}
 	s.Listener = l
 	s.Start()
 	t.Cleanup(func() {
@@ -93,36 +93,37 @@
 	return l
 }
 
-func answerAtOnce(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "done") }
+func respond(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "done") }
 
-// longLimit is far more than a call takes that does not wait for a silent channel.
-const longLimit = 20 * time.Second
+// longTimeout is far longer than a call takes that does not wait for an unresponsive
+// connection.
+const longTimeout = 20 * time.Second
 
-func (l *quiet) client() *Client { return &Client{Address: l.Addr().String(), MaxIdle: 4} }
+func (l *blackholeListener) client() *Client { return &Client{Address: l.Addr().String(), MaxIdle: 4} }
 
-// TestACallIsRepeatedWhereItsChannelFellSilent: one that may be made twice is
-// answered over a fresh channel, long before its time limit.
-func TestACallIsRepeatedWhereItsChannelFellSilent(t *testing.T) {
-	l := serveQuiet(t, answerAtOnce)
+// TestIdempotentCallIsRetried: an idempotent call on an unresponsive connection gets its
+// response over a new one, long before its timeout.
+func TestIdempotentCallIsRetried(t *testing.T) {
+	l := serveBlackhole(t, respond)
 	c := l.client()
 	call := Request{Method: http.MethodGet, Path: "/", Idempotent: true}
-	_, err := c.Do(context.Background(), call, longLimit)
+	_, err := c.Do(context.Background(), call, longTimeout)
 	assert.NilError(t, err)
-	l.fall()
+	l.blackhole()
 	began := time.Now()
-	a, err := c.Do(context.Background(), call, longLimit)
+	a, err := c.Do(context.Background(), call, longTimeout)
 	assert.NilError(t, err)
 	assert.Equal(t, string(a.Body), "done")
-	assert.Assert(t, time.Since(began) < longLimit/4, "it took %s", time.Since(began))
+	assert.Assert(t, time.Since(began) < longTimeout/4, "it took %s", time.Since(began))
 }
 
-// TestWhatIsFoundOnOneChannelCountsForAll: a call that waits on a channel of the same
-// age ends as soon as another has found the silence; one that may not be made twice
-// ends with an unknown outcome and is not sent again.
-func TestWhatIsFoundOnOneChannelCountsForAll(t *testing.T) {
+// TestUnresponsiveConnectionsAreResetTogether: a call that waits on a connection of the
+// same age ends as soon as another call has found its connection unresponsive; if it is not
+// idempotent, it ends with an unknown outcome and is not sent again.
+func TestUnresponsiveConnectionsAreResetTogether(t *testing.T) {
 	var orders atomic.Int64
 	both := make(chan struct{}, 2)
-	l := serveQuiet(t, func(w http.ResponseWriter, r *http.Request) {
+	l := serveBlackhole(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			orders.Add(1)
 		}
@@ -132,22 +133,22 @@
 				time.Sleep(time.Millisecond)
 			}
 		}
-		answerAtOnce(w, r)
+		respond(w, r)
 	})
 	c := l.client()
 	var opened sync.WaitGroup
-	for range 2 { // two channels, both idle in the end
+	for range 2 { // two connections, both idle in the end
 		opened.Go(func() {
-			_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/first"}, longLimit)
+			_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/first"}, longTimeout)
 			assert.Check(t, err)
 		})
 	}
 	opened.Wait()
-	l.fall()
+	l.blackhole()
 	began := time.Now()
 	order := make(chan error, 1)
 	go func() {
-		_, err := c.Do(context.Background(), Request{Method: http.MethodPost, Path: "/"}, longLimit)
+		_, err := c.Do(context.Background(), Request{Method: http.MethodPost, Path: "/"}, longTimeout)
 		order <- err
 	}()
 	for { // until the order waits on one of them
@@ -159,65 +160,66 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/", Idempotent: true}, longLimit)
+	_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/", Idempotent: true}, longTimeout)
 	assert.NilError(t, err)
 	assert.ErrorContains(t, <-order, "outcome-unknown")
-	assert.Assert(t, time.Since(began) < longLimit/4, "it took %s", time.Since(began))
+	assert.Assert(t, time.Since(began) < longTimeout/4, "it took %s", time.Since(began))
 	assert.Equal(t, orders.Load(), int64(0))
 }
 
-// TestASlowEndIsNotAskedTwiceForEverything: repeats have a budget.
-func TestASlowEndIsNotAskedTwiceForEverything(t *testing.T) {
-	var asked atomic.Int64
-	l := serveQuiet(t, func(w http.ResponseWriter, r *http.Request) {
-		if asked.Add(1) > 1 {
+// TestRetryBudgetForSlowServer: a slow server must not get every call twice, so retries
+// have a budget.
+func TestRetryBudgetForSlowServer(t *testing.T) {
+	var sent atomic.Int64
+	l := serveBlackhole(t, func(w http.ResponseWriter, r *http.Request) {
+		if sent.Add(1) > 1 {
 			time.Sleep(300 * time.Millisecond)
 		}
-		answerAtOnce(w, r)
+		respond(w, r)
 	})
 	c := l.client()
 	c.MaxIdle = 40
 	call := Request{Method: http.MethodGet, Path: "/", Idempotent: true}
-	_, err := c.Do(context.Background(), call, longLimit)
+	_, err := c.Do(context.Background(), call, longTimeout)
 	assert.NilError(t, err)
 	const calls = 20
-	for range calls { // one after the other, so that each finds an older channel
-		_, err := c.Do(context.Background(), call, longLimit)
+	for range calls { // one after the other, so that each uses an idle connection
+		_, err := c.Do(context.Background(), call, longTimeout)
 		assert.NilError(t, err)
 	}
-	assert.Assert(t, asked.Load() < calls*3/2, "%d calls were asked %d times", calls, asked.Load())
+	assert.Assert(t, sent.Load() < calls*3/2, "%d calls were sent %d times", calls, sent.Load())
 }
 
-// TestAHeldAnswerIsNoSilence: the far end may hold an answer for as long as it was
-// asked to.
-func TestAHeldAnswerIsNoSilence(t *testing.T) {
-	const hold = 600 * time.Millisecond
-	var asked atomic.Int64
-	l := serveQuiet(t, func(w http.ResponseWriter, r *http.Request) {
-		if asked.Add(1) > 1 {
-			time.Sleep(hold)
+// TestLongPollIsNotRetried: the server may delay a response for as long as the request
+// asked it to.
+func TestLongPollIsNotRetried(t *testing.T) {
+	const wait = 600 * time.Millisecond
+	var sent atomic.Int64
+	l := serveBlackhole(t, func(w http.ResponseWriter, r *http.Request) {
+		if sent.Add(1) > 1 {
+			time.Sleep(wait)
 		}
-		answerAtOnce(w, r)
+		respond(w, r)
 	})
 	c := l.client()
 	for range 3 {
-		_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/", Idempotent: true, ServerWait: hold}, longLimit)
+		_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/", Idempotent: true, ServerWait: wait}, longTimeout)
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, asked.Load(), int64(3))
-	assert.Equal(t, l.opens.Load(), int64(1))
+	assert.Equal(t, sent.Load(), int64(3))
+	assert.Equal(t, l.accepted.Load(), int64(1))
 }
 
-// TestAFreshChannelIsNotTakenForASilentOne: a call that was made again over a fresh
-// channel waits there for as long as any other; what a later call finds of older
-// channels does not end it.
-func TestAFreshChannelIsNotTakenForASilentOne(t *testing.T) {
-	const hold = longLimit / 2
+// TestNewConnectionIsNotReset: a call that was retried over a new connection waits there
+// like any other; when a later call finds older connections unresponsive, it is not
+// interrupted.
+func TestNewConnectionIsNotReset(t *testing.T) {
+	const wait = longTimeout / 2
 	var held atomic.Int64
-	again := make(chan struct{})
+	retried := make(chan struct{})
 	release := make(chan struct{})
 	opened := make(chan struct{}, 2)
-	l := serveQuiet(t, func(w http.ResponseWriter, r *http.Request) {
+	l := serveBlackhole(t, func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.URL.Path == "/open":
 			opened <- struct{}{}
@@ -225,33 +227,33 @@
 				time.Sleep(time.Millisecond)
 			}
 		case r.URL.Path == "/held" && held.Add(1) == 1:
-			panic(http.ErrAbortHandler) // the older channel ends at once
+			panic(http.ErrAbortHandler) // closes the older connection immediately
 		case r.URL.Path == "/held":
-			close(again)
+			close(retried)
 			<-release
 		}
-		answerAtOnce(w, r)
+		respond(w, r)
 	})
 	c := l.client()
 	var both sync.WaitGroup
-	for range cap(opened) { // two channels, both idle in the end
+	for range cap(opened) { // two connections, both idle in the end
 		both.Go(func() {
-			_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/open"}, longLimit)
+			_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/open"}, longTimeout)
 			assert.Check(t, err)
 		})
 	}
 	both.Wait()
 	first := make(chan error, 1)
 	go func() {
-		_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/held", Idempotent: true, ServerWait: hold}, longLimit)
+		_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/held", Idempotent: true, ServerWait: wait}, longTimeout)
 		first <- err
 	}()
-	<-again
-	l.fall()
+	<-retried
+	l.blackhole()
 	l.mu.Lock()
-	l.conns[len(l.conns)-1].silent.Store(false) // the fresh one works
+	l.conns[len(l.conns)-1].blackholed.Store(false) // the new one works
 	l.mu.Unlock()
-	_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/", Idempotent: true}, longLimit)
+	_, err := c.Do(context.Background(), Request{Method: http.MethodGet, Path: "/", Idempotent: true}, longTimeout)
 	assert.NilError(t, err)
 	close(release)
 	assert.NilError(t, <-first)
