--- a/modules/setting/changed.go
+++ b/modules/setting/changed.go
@@ -5,13 +5,13 @@
 
 import "reflect"
 
-// Changed returns the keys, such as limits.stale, whose values differ between two
-// settings of one type, in the order of the file's tables.
+// Changed returns the keys, such as limits.stale, whose values differ between two settings
+// of the same type, in the order of the file's tables.
 func Changed[T any](a, b T) []string {
 	return changed("", reflect.ValueOf(a), reflect.ValueOf(b))
 }
 
-// changed returns the keys below a key.
+// changed returns the differing keys below a key.
 func changed(key string, a, b reflect.Value) []string {
 	if a.Kind() != reflect.Struct {
 		if reflect.DeepEqual(a.Interface(), b.Interface()) {
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -9,7 +9,7 @@
 	"github.com/yardbridge/yardbridge/modules/tomlfile"
 )
 
-// Settings is all that a process is told about itself.
+// Settings holds all settings of an entry process.
 type Settings struct {
 	Entry    Entry    `toml:"entry"`
 	Listen   Listen   `toml:"listen"`
@@ -20,62 +20,62 @@
 	Tokens   []Token  `toml:"token"`
 }
 
-// Entry names the process and its place.
+// Entry identifies the process and its location.
 type Entry struct {
 	Name       string `toml:"name"`
 	Hall       string `toml:"hall"`
 	DataCenter string `toml:"data_center"`
 }
 
-// Listen holds the IP and port of each surface.
+// Listen holds the addresses on which an entry listens.
 type Listen struct {
 	Callers string `toml:"callers"`
 	Admin   string `toml:"admin"`
 	Peers   string `toml:"peers"`
 }
 
-// Platform says where the platform is.
+// Platform describes the platform.
 type Platform struct {
 	URL       string            `toml:"url"`
 	Retention tomlfile.Duration `toml:"retention"` // of its log
 }
 
-// Peers says how entries find and trust each other.
+// Peers configures how entries find and authenticate each other.
 type Peers struct {
-	Seeds       []string `toml:"seeds"`     // IP and port of some, for a start while the log is down
-	Advertise   string   `toml:"advertise"` // IP and port at which others reach this entry, empty for the one it listens at
+	Seeds       []string `toml:"seeds"`     // IP and port of some entries, used if the log is down at the start
+	Advertise   string   `toml:"advertise"` // IP and port at which others reach this entry, empty for the listen address
 	Certificate string   `toml:"certificate"`
 	Key         string   `toml:"key"`
 	Authority   string   `toml:"authority"`
 	Insecure    bool     `toml:"insecure"` // no TLS between entries
 }
 
-// Limits bound what callers, targets and a stop may take.
+// Limits bound the resources of callers and targets and the time of a shutdown.
 type Limits struct {
 	BodyBytes            int64             `toml:"body_bytes"`
 	HeaderBytes          int               `toml:"header_bytes"`
 	ReadTimeout          tomlfile.Duration `toml:"read_timeout"`
-	MaxConnections       int               `toml:"connections"`        // of callers at once
+	MaxConnections       int               `toml:"connections"`        // open connections of callers
 	MaxTargetConnections int               `toml:"target_connections"` // to one target, from all entries
 	TargetSlots          int               `toml:"target_slots"`       // of one target
-	MaxEntries           int               `toml:"entries"`            // the most there are at once
-	ShutdownDelay        tomlfile.Duration `toml:"withdraw"`           // from not ready to the end of listening
-	StaleAfter           tomlfile.Duration `toml:"stale"`              // without log or peer, until not ready
+	MaxEntries           int               `toml:"entries"`            // the most entries that run at the same time
+	ShutdownDelay        tomlfile.Duration `toml:"withdraw"`           // from not ready until the listener is closed
+	StaleAfter           tomlfile.Duration `toml:"stale"`              // time without log or peers after which the entry is not ready
 }
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
 	Level string `toml:"level"`
 }
 
-// Token lets its bearer use the administration API.
+// Token grants access to the administration API.
 type Token struct {
 	Name   string `toml:"name"`
 	Secret Secret `toml:"secret"`
-	Team   string `toml:"team"` // empty for an operator of everything
+	Team   string `toml:"team"` // empty for an operator with access to everything
 }
 
-// Secret is a text that is never shown.
+// Secret is a text that is never printed.
 type Secret string
 
 // String hides the secret.
@@ -87,7 +87,7 @@
 // MarshalText hides the secret.
 func (s Secret) MarshalText() ([]byte, error) { return []byte("***"), nil }
 
-// Default returns the settings that a file need not state.
+// Default returns the default settings.
 func Default() Settings {
 	return Settings{
 		Platform: Platform{Retention: tomlfile.Duration(24 * time.Hour)},
@@ -106,8 +106,8 @@
 	}
 }
 
-// MaxIdleConns returns how many idle connections one entry may keep to a target:
-// its share of what the target's slots leave.
+// MaxIdleConns returns how many idle connections one entry may keep to a target: its share
+// of the connections that the target's slots leave.
 func (l Limits) MaxIdleConns() int {
 	if l.MaxEntries == 0 {
 		return 0
@@ -115,7 +115,7 @@
 	return max((l.MaxTargetConnections-l.TargetSlots)/l.MaxEntries, 0)
 }
 
-// Parse reads and checks settings and returns all that is wrong with them.
+// Parse parses and checks settings and returns all problems.
 func Parse(name, data string) (Settings, tomlfile.Problems) {
 	s := Default()
 	problems, isTOML := tomlfile.Decode(name, data, &s)
--- a/modules/setting/setting_test.go
+++ b/modules/setting/setting_test.go
@@ -14,7 +14,7 @@
 
 const exampleFile = "../../custom/settings.example.toml"
 
-// load returns the settings of a file, which must be in order.
+// load returns the settings of a file, which must be valid.
 func load(t *testing.T, path string) Settings {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -24,14 +24,14 @@
 	return s
 }
 
-func TestExampleIsInOrder(t *testing.T) {
+func TestExampleIsValid(t *testing.T) {
 	s := load(t, exampleFile)
 	assert.Equal(t, s.Tokens[1].Team, "floor")
-	assert.Equal(t, fmt.Sprint(s.Tokens), "[{operator *** } {floor-automation *** floor}]", "a secret is shown")
+	assert.Equal(t, fmt.Sprint(s.Tokens), "[{operator *** } {floor-automation *** floor}]", "a secret is printed")
 }
 
-// TestExampleShowsTheDefaults switches on the keys that the example shows with
-// their defaults: nothing may change.
+// TestExampleShowsTheDefaults uncomments the keys that the example shows with their
+// defaults: the settings must stay the same.
 func TestExampleShowsTheDefaults(t *testing.T) {
 	data, err := os.ReadFile(exampleFile)
 	assert.NilError(t, err)
--- a/modules/tomlfile/decode.go
+++ b/modules/tomlfile/decode.go
@@ -12,18 +12,18 @@
 	"github.com/BurntSushi/toml"
 )
 
-// maxTypeProblems bounds how often a file with wrong types is read again.
+// maxTypeProblems bounds how often a file with values of wrong types is decoded again.
 const maxTypeProblems = 50
 
-// Decode reads data into v and returns all unknown keys and wrong types; where
-// the text is no TOML at all it returns the first place that is not, and false.
+// Decode decodes data into v and returns all unknown keys and values of wrong types. If the
+// text is not valid TOML, it returns the first syntax error, and false.
 func Decode(file, data string, v any) (problems Problems, isTOML bool) {
 	for range maxTypeProblems {
 		md, err := toml.Decode(data, v)
 		if err == nil {
 			return append(problems, unknownKeys(file, data, md)...), true
 		}
-		p, line := problemOf(file, err)
+		p, line := toProblem(file, err)
 		problems = append(problems, p)
 		if line == 0 {
 			return problems, false
@@ -33,15 +33,15 @@
 	return problems, true
 }
 
-// typeError is how the TOML library words a value of the wrong type, past
-// which the file can be read on.
+// typeError matches the TOML library's message for a value of the wrong type, after which
+// decoding can continue.
 var typeError = regexp.MustCompile(`(?s)^toml: line (\d+) \(last key "([^"]*)"\): (.*)$`)
 
-// problemOf returns the problem, and its line where the file can be read on
-// past it.
-func problemOf(file string, err error) (problem Problem, line int) {
+// toProblem converts an error to a Problem, and returns its line if decoding can continue
+// after it.
+func toProblem(file string, err error) (problem Problem, line int) {
 	if m := typeError.FindStringSubmatch(err.Error()); m != nil {
-		// The pattern lets only digits through.
+		// The pattern matches only digits.
 		line, _ = strconv.Atoi(m[1])
 		return Problem{File: file, Line: line, Key: m[2], Message: m[3]}, line
 	}
@@ -67,7 +67,7 @@
 	seen := make(map[string]bool)
 	for _, k := range md.Undecoded() {
 		dotted := k.String()
-		if seen[dotted] || seen[parent(dotted)] {
+		if seen[dotted] || seen[parentKey(dotted)] {
 			continue
 		}
 		seen[dotted] = true
@@ -82,7 +82,7 @@
 	return problems
 }
 
-func parent(dotted string) string {
+func parentKey(dotted string) string {
 	i := strings.LastIndexByte(dotted, '.')
 	if i < 0 {
 		return ""
--- a/modules/tomlfile/duration.go
+++ b/modules/tomlfile/duration.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Duration is a time span that is written with its unit, such as "1.5s".
+// Duration is a time.Duration that is written with its unit, such as "1.5s".
 type Duration time.Duration
 
-// UnmarshalText reads a span such as "250ms", "4s" or "1h30m".
+// UnmarshalText parses a duration such as "250ms", "4s" or "1h30m".
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no time span; allowed is a number with a unit, such as \"250ms\", \"4s\" or \"12h\"", text)
+		return fmt.Errorf("%q is not a duration; allowed is a number with a unit, such as \"250ms\", \"4s\" or \"12h\"", text)
 	}
 	*d = Duration(parsed)
 	return nil
 }
 
-// MarshalText writes the span with its unit.
+// MarshalText formats the duration with its unit.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// Std returns the span as the standard library's type.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
--- a/modules/tomlfile/locate.go
+++ b/modules/tomlfile/locate.go
@@ -13,19 +13,19 @@
 	keyLine   = regexp.MustCompile(`^\s*([A-Za-z0-9_-]+)\s*=`)
 )
 
-// Locator tells on which line a key of a file stands.
+// Locator finds the lines of a file's keys.
 type Locator struct {
-	places []place
+	locations []location
 }
 
-type place struct {
-	table string // "" for the top
+type location struct {
+	table string // "" for the top level
 	index int    // which [[table]] of that name, from 0
-	key   string // "" for the header itself
+	key   string // "" for the table header
 	line  int    // from 1
 }
 
-// NewLocator reads the lines of a TOML file.
+// NewLocator indexes the lines of a TOML file.
 func NewLocator(data string) Locator {
 	var l Locator
 	counts := make(map[string]int)
@@ -35,21 +35,21 @@
 			table = m[1]
 			index = counts[table]
 			counts[table]++
-			l.places = append(l.places, place{table: table, index: index, line: i + 1})
+			l.locations = append(l.locations, location{table: table, index: index, line: i + 1})
 			continue
 		}
 		if m := keyLine.FindStringSubmatch(text); m != nil {
-			l.places = append(l.places, place{table: table, index: index, key: m[1], line: i + 1})
+			l.locations = append(l.locations, location{table: table, index: index, key: m[1], line: i + 1})
 		}
 	}
 	return l
 }
 
-// Line returns the line of a key in the index-th table of a name, the line of
-// the table's header where the key is missing, and 0 where both are.
+// Line returns the line of a key in the index-th table of a name, the line of the table's
+// header if the key is missing, and 0 if both are.
 func (l Locator) Line(table string, index int, key string) int {
 	header := 0
-	for _, p := range l.places {
+	for _, p := range l.locations {
 		if p.table != table || p.index != index {
 			continue
 		}
@@ -63,10 +63,10 @@
 	return header
 }
 
-// lines returns every line on which the dotted key stands.
+// lines returns every line that sets the dotted key.
 func (l Locator) lines(dotted string) []int {
 	var found []int
-	for _, p := range l.places {
+	for _, p := range l.locations {
 		full := p.key
 		switch {
 		case p.table != "" && p.key != "":
--- a/modules/tomlfile/problem.go
+++ b/modules/tomlfile/problem.go
@@ -11,7 +11,7 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// Problem is one fault of a file, with a line counted from 1 (0 for none).
+// Problem is an error in a file, with a line counted from 1 (0 for none).
 type Problem struct {
 	File    string `json:"file"`
 	Line    int    `json:"line,omitempty"`
@@ -33,11 +33,11 @@
 	return b.String()
 }
 
-// Problems is all that is wrong with a file.
+// Problems holds all problems of a file.
 type Problems []Problem
 
-// Err returns nil where there are no problems, and else a BadRequest error
-// with one line a problem.
+// Err returns nil if there are no problems, and otherwise a BadRequest error with one
+// problem a line.
 func (p Problems) Err() error {
 	if len(p) == 0 {
 		return nil
@@ -49,8 +49,8 @@
 	return errkind.New(errkind.BadRequest, "%s", strings.Join(lines, "\n"))
 }
 
-// Merge returns the problems and those of more that are about other lines or
-// keys, so that a value of the wrong type is not reported twice.
+// Merge returns the problems and those of more that are about other lines or keys, so that
+// a value of the wrong type is not reported twice.
 func (p Problems) Merge(more Problems) Problems {
 	merged := slices.Clone(p)
 	for _, m := range more {
