--- a/modules/silence/doc.go
+++ b/modules/silence/doc.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package silence tells a connection that has fallen silent apart from a far end
-// that is silent: an open connection may carry nothing any more, without a reset,
-// while a fresh one to the same address works.
+// Package silence distinguishes an unresponsive connection from an unresponsive peer: an
+// open connection may pass nothing any more, without a reset, while a new one to the same
+// address works.
 package silence
--- a/modules/silence/retry.go
+++ b/modules/silence/retry.go
@@ -8,84 +8,83 @@
 	"time"
 )
 
-// The bounds of repeats.
+// Limits on retries.
 const (
-	// leastPatience is the least time without an answer after which a call is made
-	// again over a fresh connection: the store and workers answer within 5 ms, nodes
-	// that are short of processor time within 0.1 s, and the shortest time limit of
-	// a call is 0.4 s.
-	leastPatience = 200 * time.Millisecond
-	// patienceTimes is how many times the usual time of an answer is waited for: an
-	// end that has become slow is not asked twice for everything.
-	patienceTimes = 4
-	// usualShare is how much the newest answer counts for the usual time.
-	usualShare = 0.3
-	// timedOneIn is one in how many answered calls is timed: with the share above, the
-	// usual time follows an end that becomes slow within some twenty calls.
-	timedOneIn = 8
-	// budgetShare is the share of a repeat that each answered call brings: a tenth
-	// more calls at most, however slow the end is.
-	budgetShare = 0.1
-	// budgetMost is how many repeats may follow one another: as many as a node has
-	// calls under way to one end.
-	budgetMost = 12
+	// minRetryDelay is the least time without a response after which a call is retried over
+	// a new connection: the store and workers respond within 5 ms, nodes that are short of
+	// CPU time within 0.1 s, and the shortest timeout of a call is 0.4 s.
+	minRetryDelay = 200 * time.Millisecond
+	// delayFactor is how many times the average response time is waited for, so that an
+	// endpoint that has become slow does not get every call twice.
+	delayFactor = 4
+	// averageWeight is the weight of the newest response in the average response time.
+	averageWeight = 0.3
+	// sampleInterval is one in how many calls is timed: with averageWeight, the average
+	// follows an endpoint that becomes slow within about twenty calls.
+	sampleInterval = 8
+	// budgetPerResponse is how much of a retry each response adds to the budget: at most a
+	// tenth more calls, however slow the endpoint is.
+	budgetPerResponse = 0.1
+	// maxBudget is how many retries may follow one another: as many as a node has calls in
+	// progress to one endpoint.
+	maxBudget = 12
 )
 
-// RetryPolicy decides when calls to one end are made again over a fresh connection; its
-// zero value works.
+// RetryPolicy decides when calls to one endpoint are retried over a new connection; its
+// zero value is ready for use.
 type RetryPolicy struct {
-	mu       sync.Mutex
-	usual    time.Duration // that an answer takes
-	spent    float64       // repeats that were not earned back yet
-	answered uint64
+	mu        sync.Mutex
+	average   time.Duration // response time
+	spent     float64       // retries that responses have not made up for yet
+	responses uint64
 }
 
-// RetryDelay returns how long to wait for an answer on an older connection.
+// RetryDelay returns how long to wait for a response on a reused connection before a retry.
 func (r *RetryPolicy) RetryDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return max(leastPatience, patienceTimes*r.usual)
+	return max(minRetryDelay, delayFactor*r.average)
 }
 
-// RecordResponse notes that a call was answered which began at a time; held is for how long
-// the far end was asked to hold the answer back. Only some calls are timed, since
-// reading the clock costs.
-func (r *RetryPolicy) RecordResponse(began time.Time, held time.Duration) {
+// RecordResponse records the response to a call that was sent at the given time; serverWait
+// is how long the server was asked to delay the response. Only some calls are timed,
+// because reading the clock is costly.
+func (r *RetryPolicy) RecordResponse(began time.Time, serverWait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spent = max(r.spent-budgetShare, 0)
-	r.answered++
-	if r.answered%timedOneIn == 1 {
-		r.took(max(time.Since(began)-held, 0))
+	r.spent = max(r.spent-budgetPerResponse, 0)
+	r.responses++
+	if r.responses%sampleInterval == 1 {
+		r.recordDuration(max(time.Since(began)-serverWait, 0))
 	}
 }
 
-// RecordRetryResponse notes that a call was answered which had got no answer before: where it took as
-// long again, the far end is slow, and the next calls wait for it.
-func (r *RetryPolicy) RecordRetryResponse(began time.Time, held time.Duration) {
+// RecordRetryResponse records the response to a retried call. If it took as long again, the
+// endpoint is slow, and the next calls wait for it.
+func (r *RetryPolicy) RecordRetryResponse(began time.Time, serverWait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	took := max(time.Since(began)-held, 0)
-	if took > leastPatience/2 {
-		r.usual = max(r.usual, took)
+	duration := max(time.Since(began)-serverWait, 0)
+	if duration > minRetryDelay/2 {
+		r.average = max(r.average, duration)
 		return
 	}
-	r.took(took)
+	r.recordDuration(duration)
 }
 
-// took takes the time of an answer into the usual one. The lock is held.
-func (r *RetryPolicy) took(took time.Duration) {
-	if r.usual == 0 {
-		r.usual = took
+// recordDuration updates the average response time. The caller holds r.mu.
+func (r *RetryPolicy) recordDuration(duration time.Duration) {
+	if r.average == 0 {
+		r.average = duration
 	}
-	r.usual += time.Duration(usualShare * float64(took-r.usual))
+	r.average += time.Duration(averageWeight * float64(duration-r.average))
 }
 
-// Spend takes one repeat off the budget, and reports whether there was one.
+// Spend takes one retry from the budget, and reports whether there was one.
 func (r *RetryPolicy) Spend() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.spent+1 > budgetMost {
+	if r.spent+1 > maxBudget {
 		return false
 	}
 	r.spent++
--- a/modules/silence/silence.go
+++ b/modules/silence/silence.go
@@ -12,54 +12,55 @@
 	"time"
 )
 
-// Conn is a connection that counts what comes on it. Counts, not times, since reading
-// the clock at each read would cost more than all the rest.
+// Conn is a connection that counts its reads. It records counts instead of times, because
+// reading the clock at each read would cost more than everything else.
 type Conn struct {
 	net.Conn
-	end    *Endpoint
-	opened time.Time
-	heard  atomic.Uint64 // how often something has come
-	silent atomic.Bool
+	endpoint     *Endpoint
+	opened       time.Time
+	reads        atomic.Uint64 // number of reads that returned data
+	unresponsive atomic.Bool
 
-	waiting atomic.Pointer[wait] // for an answer, nil while none is waited for
+	pending atomic.Pointer[pendingResponse] // the expected response, nil if none is expected
 }
 
-// wait is the waiting for an answer.
-type wait struct {
-	due   time.Time // when the answer is due
-	heard uint64    // what had come before
+// pendingResponse is a response that is expected.
+type pendingResponse struct {
+	due         time.Time // when the response is due
+	readsBefore uint64    // reads when the response became expected
 }
 
 // Read reads from the connection.
 func (c *Conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.heard.Add(1)
+		c.reads.Add(1)
 	}
 	return n, err
 }
 
-// ReadCount returns how often something has come on the connection.
-func (c *Conn) ReadCount() uint64 { return c.heard.Load() }
+// ReadCount returns how often data was read from the connection.
+func (c *Conn) ReadCount() uint64 { return c.reads.Load() }
 
-// ExpectResponse notes that an answer is waited for that is due at a time.
-func (c *Conn) ExpectResponse(due time.Time) { c.waiting.Store(&wait{due, c.ReadCount()}) }
+// ExpectResponse records that a response is expected, and when it is due.
+func (c *Conn) ExpectResponse(due time.Time) { c.pending.Store(&pendingResponse{due, c.ReadCount()}) }
 
-// ClearExpected notes that no answer is waited for.
-func (c *Conn) ClearExpected() { c.waiting.Store(nil) }
+// ClearExpected records that no response is expected.
+func (c *Conn) ClearExpected() { c.pending.Store(nil) }
 
-// quiet reports whether the connection has nothing to show for itself: no answer is
-// waited for, or one is overdue and nothing of it has come.
-func (c *Conn) quiet(now time.Time) bool {
-	w := c.waiting.Load()
-	return w == nil || !now.Before(w.due) && c.ReadCount() == w.heard
+// mayBeUnresponsive reports whether nothing shows that the connection works: no response is
+// expected, or one is overdue and no part of it was received.
+func (c *Conn) mayBeUnresponsive(now time.Time) bool {
+	w := c.pending.Load()
+	return w == nil || !now.Before(w.due) && c.ReadCount() == w.readsBefore
 }
 
-// Unresponsive reports whether the connection was found silent, and ended for that.
-func (c *Conn) Unresponsive() bool { return c.silent.Load() }
+// Unresponsive reports whether the connection was found unresponsive and was reset for that
+// reason.
+func (c *Conn) Unresponsive() bool { return c.unresponsive.Load() }
 
-// RemoteClosed reports whether the far end has ended a connection on which nothing is waited for, or
-// has sent what nobody has asked for. It costs a call of the kernel, and does not wait.
+// RemoteClosed reports whether the remote end has closed a connection on which nothing is
+// expected, or has sent unrequested data. It makes a system call and does not block.
 func (c *Conn) RemoteClosed() bool {
 	raw, has := innermost(c.Conn).(syscall.Conn)
 	if !has {
@@ -69,39 +70,40 @@
 	if err != nil {
 		return true // it is closed
 	}
-	ended := false
+	closed := false
 	err = control.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, err := syscall.Read(int(fd), b[:])
-		ended = !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
+		closed = !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 		return true
 	})
-	return ended || err != nil
+	return closed || err != nil
 }
 
 // Close closes the connection.
 func (c *Conn) Close() error {
-	c.end.forget(c)
+	c.endpoint.forget(c)
 	return c.Conn.Close()
 }
 
-// Reset ends the connection so that what the far end has not read yet is lost:
-// closed in the usual way, the kernel would go on sending it, and the far end might
-// carry out seconds later what nobody waits for any more. The innermost connection is
-// ended first: a secure one around it would take seconds to say that it ends.
+// Reset closes the connection in a way that discards what the remote end has not read yet.
+// After a normal close, the kernel would keep sending it, and the remote end might act
+// seconds later on a request that nobody waits for any more. The innermost connection is
+// closed first, because closing a TLS connection around it would take seconds to send the
+// close notification.
 func (c *Conn) Reset() {
 	if t, isTCP := innermost(c.Conn).(*net.TCPConn); isTCP {
-		// A connection that can't be set is closed in the usual way.
+		// If the option cannot be set, the connection is closed normally.
 		_ = t.SetLinger(0)
-		_ = t.Close() // one that is closed already tells nothing
+		_ = t.Close() // it may be closed already
 	}
 	_ = c.Close()
 }
 
-// innermost returns the connection that others are wrapped around.
+// innermost returns the connection that the others wrap.
 func innermost(c net.Conn) net.Conn {
 	for {
-		w, wraps := c.(interface{ NetConn() net.Conn }) // as the library's secure connections have it
+		w, wraps := c.(interface{ NetConn() net.Conn }) // as crypto/tls connections have it
 		if !wraps {
 			return c
 		}
@@ -109,16 +111,15 @@
 	}
 }
 
-// Endpoint is a far end and the connections that are open to it; its zero value has
-// none.
+// Endpoint tracks the open connections to a remote address; its zero value has none.
 type Endpoint struct {
 	mu    sync.Mutex
 	conns map[*Conn]bool
 }
 
-// Track counts a fresh connection among those to the end.
+// Track starts to track a new connection to the endpoint.
 func (e *Endpoint) Track(raw net.Conn) *Conn {
-	c := &Conn{Conn: raw, end: e, opened: time.Now()}
+	c := &Conn{Conn: raw, endpoint: e, opened: time.Now()}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.conns == nil {
@@ -134,27 +135,27 @@
 	delete(e.conns, c)
 }
 
-// ResetOlder takes the news that the end has answered on a fresh connection what got no
-// answer on an older one: all that were opened before it have fallen silent, unless they
-// show that they have not, and are ended: those on which nothing is waited for, and those
-// whose answer is overdue; calls that wait there fail at once. It returns how many there
-// were.
+// ResetOlder is called when the endpoint has responded on a new connection to a call that
+// got no response on an older one. All connections that were opened earlier are then
+// considered unresponsive and reset, unless they show the contrary: those on which no
+// response is expected, and those whose response is overdue. Calls that wait on them fail
+// immediately. It returns how many there were.
 func (e *Endpoint) ResetOlder(fresh *Conn) int {
-	silent := e.older(fresh)
-	for _, c := range silent {
-		c.silent.Store(true)
+	unresponsive := e.olderThan(fresh)
+	for _, c := range unresponsive {
+		c.unresponsive.Store(true)
 		c.Reset()
 	}
-	return len(silent)
+	return len(unresponsive)
 }
 
-func (e *Endpoint) older(fresh *Conn) []*Conn {
+func (e *Endpoint) olderThan(fresh *Conn) []*Conn {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var list []*Conn
 	for c := range e.conns {
-		if c != fresh && c.opened.Before(fresh.opened) && c.quiet(now) {
+		if c != fresh && c.opened.Before(fresh.opened) && c.mayBeUnresponsive(now) {
 			list = append(list, c)
 		}
 	}
--- a/modules/silence/silence_test.go
+++ b/modules/silence/silence_test.go
@@ -13,15 +13,16 @@
 	"pgregory.net/rapid"
 )
 
-// pipe returns a tracked connection and its far end.
+// pipe returns a tracked connection and its remote end.
 func pipe(e *Endpoint) (*Conn, net.Conn) {
 	near, far := net.Pipe()
 	return e.Track(near), far
 }
 
-// TestOnlyWhatIsOlderQuietAndOverdueIsEnded plays any order of opening, hearing,
-// waiting and finding.
-func TestOnlyWhatIsOlderQuietAndOverdueIsEnded(t *testing.T) {
+// TestResetOlder plays random sequences of opening connections, reading, expecting
+// responses and resetting; only connections that are older and show no sign of life may be
+// reset.
+func TestResetOlder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var e Endpoint
 		type known struct {
@@ -32,7 +33,7 @@
 		var conns []*known
 		steps := rapid.SliceOfN(rapid.IntRange(0, 3), 1, 30).Draw(t, "steps")
 		for _, s := range steps {
-			time.Sleep(time.Microsecond) // so that no two things have one time
+			time.Sleep(time.Microsecond) // so that no two events have the same time
 			switch {
 			case s == 0 || len(conns) == 0:
 				c, far := pipe(&e)
@@ -74,16 +75,16 @@
 	})
 }
 
-// TestWhatWasHeardSinceIsNotEnded: a connection on which a part of the answer has come
-// is not silent, however long the rest takes.
-func TestWhatWasHeardSinceIsNotEnded(t *testing.T) {
+// TestPartialResponseKeepsConnection: a connection on which a part of the response was
+// received is not unresponsive, however long the rest takes.
+func TestPartialResponseKeepsConnection(t *testing.T) {
 	var e Endpoint
 	c, far := pipe(&e)
 	c.ExpectResponse(time.Now())
 	go func() { _, _ = far.Write([]byte{1}) }()
 	_, err := c.Read(make([]byte, 1))
 	assert.NilError(t, err)
-	time.Sleep(time.Millisecond) // so that the fresh one is younger
+	time.Sleep(time.Millisecond) // so that the new one is younger
 	fresh, _ := pipe(&e)
 	assert.Equal(t, e.ResetOlder(fresh), 0)
 	assert.Assert(t, !c.Unresponsive())
@@ -91,14 +92,14 @@
 	assert.Equal(t, e.ResetOlder(fresh), 1)
 }
 
-// TestRepeatsAreATenthOfCallsInTheLongRun: whatever is answered and asked for in any
-// order, repeats stay within the budget.
-func TestRepeatsAreATenthOfCallsInTheLongRun(t *testing.T) {
+// TestRetryBudget: for any sequence of responses and retries, the retries stay within the
+// budget.
+func TestRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r RetryPolicy
 		answered, allowed := 0, 0
-		for _, isAnswer := range rapid.SliceOf(rapid.Bool()).Draw(t, "calls") {
-			if isAnswer {
+		for _, isResponse := range rapid.SliceOf(rapid.Bool()).Draw(t, "calls") {
+			if isResponse {
 				r.RecordResponse(time.Now(), 0)
 				answered++
 				continue
@@ -107,24 +108,25 @@
 				allowed++
 			}
 		}
-		assert.Assert(t, float64(allowed) <= budgetMost+budgetShare*float64(answered)+1e-6, "%d of %d", allowed, answered)
+		assert.Assert(t, float64(allowed) <= maxBudget+budgetPerResponse*float64(answered)+1e-6, "%d of %d", allowed, answered)
 	})
 }
 
-// TestPatienceFollowsAnEndThatBecomesSlow: a slow end is waited for.
-func TestPatienceFollowsAnEndThatBecomesSlow(t *testing.T) {
+// TestRetryDelayFollowsSlowEndpoint: the delay grows with the response time.
+func TestRetryDelayFollowsSlowEndpoint(t *testing.T) {
 	var r RetryPolicy
 	r.RecordResponse(time.Now().Add(-2*time.Millisecond), 0)
-	assert.Equal(t, r.RetryDelay(), leastPatience)
+	assert.Equal(t, r.RetryDelay(), minRetryDelay)
 	for range 80 {
 		r.RecordResponse(time.Now().Add(-300*time.Millisecond), 0)
 	}
 	assert.Assert(t, r.RetryDelay() > time.Second, "%s", r.RetryDelay())
 }
 
-// TestSlowEndIsLearnedAtOnce: an end that has become slow is asked twice by one call,
-// not by all of the next twenty; it is waited for no longer once it is quick again.
-func TestSlowEndIsLearnedAtOnce(t *testing.T) {
+// TestSlowEndpointIsLearnedFromOneRetry: after an endpoint has become slow, one call is
+// retried, but not all of the next twenty; once it is fast again, the delay returns to the
+// minimum.
+func TestSlowEndpointIsLearnedFromOneRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var r RetryPolicy
 		answer := func(takes time.Duration) (repeated bool) {
@@ -149,6 +151,6 @@
 		for range 100 {
 			answer(4 * time.Millisecond)
 		}
-		assert.Equal(t, r.RetryDelay(), leastPatience)
+		assert.Equal(t, r.RetryDelay(), minRetryDelay)
 	})
 }
