--- a/modules/clock/boot_linux.go
+++ b/modules/clock/boot_linux.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// SinceBoot returns the time since the machine was started, with that for which it was
-// suspended.
+// SinceBoot returns the time since the machine was started, including the time for which it
+// was suspended.
 func SinceBoot() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/modules/clock/boot_other.go
+++ b/modules/clock/boot_other.go
@@ -10,8 +10,7 @@
 	"time"
 )
 
-// SinceBoot returns an error: this system is not asked for the time for which it was
-// suspended.
+// SinceBoot returns an error, because the suspended time is not read on this system.
 func SinceBoot() (time.Duration, error) {
-	return 0, errors.New("the time of suspensions is told on Linux only")
+	return 0, errors.New("the suspended time is available on Linux only")
 }
--- a/modules/clock/clock.go
+++ b/modules/clock/clock.go
@@ -5,15 +5,15 @@
 
 import "time"
 
-// Clock tells the time; its zero value is the machine's clock.
+// Clock provides the time; its zero value is the machine's clock.
 type Clock struct {
 	NowFunc       func() time.Time
 	AfterFunc     func(time.Duration) <-chan time.Time
 	SuspendedFunc func() time.Duration
 }
 
-// Suspended returns by how much the time of day of Now is ahead: for as long as the machine
-// was suspended.
+// Suspended returns how long the machine was suspended, which is how far Now is ahead of
+// the wall clock.
 func (c Clock) Suspended() time.Duration {
 	if c.SuspendedFunc == nil {
 		return 0
@@ -21,11 +21,11 @@
 	return c.SuspendedFunc()
 }
 
-// WallTime returns the time of day at a moment that Now has told.
+// WallTime converts a time returned by Now to the wall-clock time.
 func (c Clock) WallTime(t time.Time) time.Time { return t.Add(-c.Suspended()) }
 
-// FromWallTime returns what Now tells at a time of day.
-func (c Clock) FromWallTime(date time.Time) time.Time { return date.Add(c.Suspended()) }
+// FromWallTime converts a wall-clock time to the time that Now returns then.
+func (c Clock) FromWallTime(wall time.Time) time.Time { return wall.Add(c.Suspended()) }
 
 // Now returns the current time.
 func (c Clock) Now() time.Time {
@@ -35,7 +35,7 @@
 	return c.NowFunc()
 }
 
-// After returns a channel that fires once d has passed.
+// After returns a channel that receives the time once d has passed.
 func (c Clock) After(d time.Duration) <-chan time.Time {
 	if c.AfterFunc == nil {
 		return time.After(d)
--- a/modules/clock/fake.go
+++ b/modules/clock/fake.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Fake is a clock that moves only when told to.
+// Fake is a clock that moves only when Advance is called.
 type Fake struct {
 	mu      sync.Mutex
 	now     time.Time
@@ -23,7 +23,7 @@
 // NewFake returns a fake clock that starts at the given time.
 func NewFake(start time.Time) *Fake { return &Fake{now: start} }
 
-// Clock returns the seam that reads this fake.
+// Clock returns a Clock that reads the fake.
 func (f *Fake) Clock() Clock { return Clock{NowFunc: f.Now, AfterFunc: f.After} }
 
 // Now returns the fake's time.
@@ -33,7 +33,7 @@
 	return f.now
 }
 
-// After returns a channel that fires once the fake was moved by d.
+// After returns a channel that receives the time once the fake was advanced by d.
 func (f *Fake) After(d time.Duration) <-chan time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -46,7 +46,7 @@
 	return t.fire
 }
 
-// Advance moves the fake by d and fires what became due.
+// Advance advances the fake by d and fires the timers that are due.
 func (f *Fake) Advance(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/modules/clock/suspend_test.go
+++ b/modules/clock/suspend_test.go
@@ -19,11 +19,12 @@
 	errs         []error
 }
 
-// start is the time of day at which a process has begun.
+// start is the wall-clock time at the start of the process.
 var start = time.Now()
 
-// clock returns a clock on the machine. The steady part of its readings can't be set apart
-// from the time of day, so the reading stands for the steady clock and what it loses.
+// clock returns a clock on the machine. The monotonic part of its readings cannot be set
+// separately from the wall clock, so the reading stands for the monotonic clock and the
+// time that it lacks.
 func (m *machine) clock(t *testing.T) *SuspendAware {
 	t.Helper()
 	s, err := NewSuspendAware(
@@ -41,30 +42,30 @@
 	return s
 }
 
-// run lets the machine run for a time.
+// run advances the machine's clocks.
 func (m *machine) run(d time.Duration) {
 	m.steady += d
 	m.boot += d
 }
 
-// TestASuspensionCounts: what has passed between two readings includes the time for which
-// the machine was suspended, and the time of day is not changed by it.
-func TestASuspensionCounts(t *testing.T) {
+// TestSuspension: the difference of two readings includes the time for which the machine
+// was suspended, and the wall-clock time does not.
+func TestSuspension(t *testing.T) {
 	m := &machine{boot: time.Hour}
 	s := m.clock(t)
 	c := s.Clock()
 	before := c.Now()
-	m.run(usualPeriod + time.Millisecond)
+	m.run(defaultCheckInterval + time.Millisecond)
 	m.boot += 4 * time.Second
 	after := c.Now()
-	assert.Equal(t, after.Sub(before), usualPeriod+time.Millisecond+4*time.Second)
-	assert.Equal(t, c.WallTime(after).Sub(before), usualPeriod+time.Millisecond)
+	assert.Equal(t, after.Sub(before), defaultCheckInterval+time.Millisecond+4*time.Second)
+	assert.Equal(t, c.WallTime(after).Sub(before), defaultCheckInterval+time.Millisecond)
 	assert.Assert(t, c.FromWallTime(c.WallTime(after)).Equal(after))
 	assert.DeepEqual(t, m.found, []time.Duration{4 * time.Second})
 }
 
-// TestNoSuspension: drift between the clocks is none, and a machine that does not tell of
-// suspensions is said so.
+// TestNoSuspension: drift between the clocks is not taken for a suspension, and an error of
+// reading the boot time is reported.
 func TestNoSuspension(t *testing.T) {
 	m := &machine{}
 	s := m.clock(t)
@@ -74,13 +75,13 @@
 		assert.Equal(t, s.Now().Sub(start), m.steady)
 	}
 	assert.Equal(t, len(m.found), 0)
-	m.fails = errors.New("not told")
-	m.run(2 * usualPeriod)
+	m.fails = errors.New("not available")
+	m.run(2 * defaultCheckInterval)
 	assert.Equal(t, s.Now().Sub(start), m.steady)
 	assert.Equal(t, len(m.errs), 1)
 }
 
-// TestSinceBoot: the machine tells the time since its start, which goes on.
+// TestSinceBoot: the time since the machine's start can be read and does not decrease.
 func TestSinceBoot(t *testing.T) {
 	first, err := SinceBoot()
 	assert.NilError(t, err)
