--- a/modules/log/async_writer.go
+++ b/modules/log/async_writer.go
@@ -13,35 +13,35 @@
 	"time"
 )
 
-// queueBytes bounds the lines that wait to be written: some seconds of a busy
-// node's.
-const queueBytes = 1 << 20
+// maxQueuedBytes bounds the lines that wait to be written: some seconds of the log of a
+// busy node.
+const maxQueuedBytes = 1 << 20
 
-// AsyncWriter takes lines without ever waiting for where they go: one that finds the
-// queue full is dropped and counted. Its zero value with a target works.
+// AsyncWriter accepts lines without ever waiting for the output. A line that finds the
+// queue full is dropped and counted. Its zero value with an output is ready for use.
 type AsyncWriter struct {
 	Output io.Writer
 
-	mu      sync.Mutex
-	waiting []byte
-	spare   []byte
-	dropped int   // since the last line that told of them
-	lost    int64 // in all
-	torn    bool  // the last line that was written was cut off
-	writing bool
-	idle    chan struct{} // closed once nothing is being written
+	mu           sync.Mutex
+	pending      []byte
+	spare        []byte
+	dropped      int   // since the last line that reported them
+	droppedTotal int64 // since the start
+	truncated    bool  // the last line was written only in part
+	writing      bool
+	idle         chan struct{} // closed once nothing is being written
 }
 
-// Write takes a line.
+// Write queues a line.
 func (q *AsyncWriter) Write(line []byte) (int, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.waiting)+len(line) > queueBytes {
+	if len(q.pending)+len(line) > maxQueuedBytes {
 		q.dropped++
-		q.lost++
+		q.droppedTotal++
 		return len(line), nil
 	}
-	q.waiting = append(q.waiting, line...)
+	q.pending = append(q.pending, line...)
 	if !q.writing {
 		q.writing, q.idle = true, make(chan struct{})
 		go q.run()
@@ -49,62 +49,61 @@
 	return len(line), nil
 }
 
-// run writes what waits until nothing does.
+// run writes queued lines until there are none.
 func (q *AsyncWriter) run() {
 	for {
 		q.mu.Lock()
-		lines, dropped, torn := q.waiting, q.dropped, q.torn
+		lines, dropped, truncated := q.pending, q.dropped, q.truncated
 		if len(lines) == 0 {
 			q.writing = false
 			close(q.idle)
 			q.mu.Unlock()
 			return
 		}
-		q.waiting, q.spare, q.dropped, q.torn = q.spare[:0], nil, 0, false
+		q.pending, q.spare, q.dropped, q.truncated = q.spare[:0], nil, 0, false
 		q.mu.Unlock()
-		if torn {
+		if truncated {
 			lines = append([]byte{'\n'}, lines...)
 		}
 		if dropped > 0 {
 			lines = fmt.Appendf(lines, `{"level":"warn","event":"log","dropped":%d,"message":"lines were dropped: the queue was full, or they could not be written"}`+"\n", dropped)
 		}
-		q.put(lines)
+		q.writeLines(lines)
 		q.mu.Lock()
 		q.spare = lines[:0]
 		q.mu.Unlock()
 	}
 }
 
-// The patience with a target that is full: a pipe whose reader lags, in a mode in
-// which a write does not wait.
+// Retries for an output that is full: a pipe in non-blocking mode whose reader lags.
 const (
-	fullPause = 5 * time.Millisecond
-	fullTries = 200
+	retryPause = 5 * time.Millisecond
+	maxRetries = 200
 )
 
-// atomicBytes is up to which size a pipe takes a write as a whole, by POSIX at
-// least 512 and on Linux this; larger ones came out cut.
+// atomicBytes is the largest write to a pipe that is atomic: at least 512 by POSIX, and
+// this on Linux; larger writes were truncated.
 const atomicBytes = 4096
 
-// put writes lines whole. What can't be written has nowhere to say so but the
-// count of what was dropped, and a line that is cut off is ended.
-func (q *AsyncWriter) put(lines []byte) {
+// writeLines writes complete lines. A line that cannot be written is only counted as
+// dropped, and a truncated line is terminated.
+func (q *AsyncWriter) writeLines(lines []byte) {
 	for try := 0; len(lines) > 0; {
 		n, err := q.Output.Write(firstLines(lines))
 		lines = lines[n:]
 		switch {
 		case err == nil:
-		case errors.Is(err, syscall.EAGAIN) && try < fullTries:
+		case errors.Is(err, syscall.EAGAIN) && try < maxRetries:
 			try++
-			time.Sleep(fullPause)
+			time.Sleep(retryPause)
 		default:
-			q.cutOff(lines)
+			q.countUnwritten(lines)
 			return
 		}
 	}
 }
 
-// firstLines returns as many whole lines as a pipe takes at once.
+// firstLines returns as many complete lines as an atomic write to a pipe can take.
 func firstLines(lines []byte) []byte {
 	if len(lines) <= atomicBytes {
 		return lines
@@ -115,29 +114,29 @@
 	return lines[:atomicBytes]
 }
 
-// cutOff counts the lines that were not written whole.
-func (q *AsyncWriter) cutOff(rest []byte) {
+// countUnwritten counts the lines that were not written completely.
+func (q *AsyncWriter) countUnwritten(unwritten []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	n := bytes.Count(rest, []byte{'\n'})
+	n := bytes.Count(unwritten, []byte{'\n'})
 	q.dropped += n
-	q.lost += int64(n)
-	q.torn = true
+	q.droppedTotal += int64(n)
+	q.truncated = true
 }
 
 // Dropped returns how many lines were dropped since the start.
 func (q *AsyncWriter) Dropped() int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.lost
+	return q.droppedTotal
 }
 
-// flushLimit bounds the wait for lines to be written at a process's end: a reader
-// that takes nothing for a second holds up no stop, which has some seconds in all.
-const flushLimit = time.Second
+// flushTimeout bounds the wait for lines to be written at the end of a process: a reader
+// that reads nothing for a second must not delay a shutdown, which has some seconds in
+// total.
+const flushTimeout = time.Second
 
-// Flush waits until everything that came is written, or the target has taken nothing
-// for long.
+// Flush waits until all queued lines are written or the timeout is over.
 func (q *AsyncWriter) Flush() {
 	q.mu.Lock()
 	idle, writing := q.idle, q.writing
@@ -147,6 +146,6 @@
 	}
 	select {
 	case <-idle:
-	case <-time.After(flushLimit):
+	case <-time.After(flushTimeout):
 	}
 }
--- a/modules/log/async_writer_test.go
+++ b/modules/log/async_writer_test.go
@@ -14,15 +14,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// fullPipe takes a few bytes at a time and then is full once.
+// fullPipe accepts some bytes and is full at every second write.
 type fullPipe struct {
 	mu   sync.Mutex
 	got  bytes.Buffer
 	full bool
-	fail error // in place of being full, once
+	fail error // returned instead of being full, once
 }
 
-// Write takes at most ten bytes.
+// Write accepts at most ten bytes.
 func (p *fullPipe) Write(data []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,7 +41,7 @@
 	return 0, syscall.EAGAIN
 }
 
-func TestLinesStayWholeWhereThePipeIsFull(t *testing.T) {
+func TestLinesStayCompleteOnFullPipe(t *testing.T) {
 	p := &fullPipe{}
 	q := &AsyncWriter{Output: p}
 	var want strings.Builder
@@ -55,7 +55,7 @@
 	assert.Equal(t, q.Dropped(), int64(0))
 }
 
-func TestLineThatIsCutOffIsEnded(t *testing.T) {
+func TestTruncatedLineIsTerminated(t *testing.T) {
 	p := &fullPipe{fail: errors.New("no more")}
 	q := &AsyncWriter{Output: p}
 	_, err := q.Write([]byte("a first line that is long\n"))
@@ -69,17 +69,17 @@
 	assert.Equal(t, q.Dropped(), int64(1))
 }
 
-// broken takes nothing.
-type broken struct{ tries int }
+// failingWriter fails every write.
+type failingWriter struct{ tries int }
 
 // Write always fails.
-func (b *broken) Write([]byte) (int, error) {
+func (b *failingWriter) Write([]byte) (int, error) {
 	b.tries++
 	return 0, errors.New("closed")
 }
 
-func TestTargetThatIsGoneIsTriedOncePerLine(t *testing.T) {
-	b := &broken{}
+func TestFailingOutputIsTriedOncePerLine(t *testing.T) {
+	b := &failingWriter{}
 	q := &AsyncWriter{Output: b}
 	for range 3 {
 		_, err := q.Write([]byte("a line\n"))
@@ -90,7 +90,7 @@
 	assert.Assert(t, q.Dropped() >= 3)
 }
 
-func TestWritesAreOfWholeLines(t *testing.T) {
+func TestWritesAreCompleteLines(t *testing.T) {
 	line := strings.Repeat("x", 99) + "\n"
 	lines := []byte(strings.Repeat(line, 100))
 	for len(lines) > 0 {
--- a/modules/log/log.go
+++ b/modules/log/log.go
@@ -9,12 +9,11 @@
 	"github.com/rs/zerolog"
 )
 
-// Logger is the logger that is handed to every part; its zero value drops
-// what it is given.
+// Logger is the logger that all packages use; its zero value discards everything.
 type Logger = zerolog.Logger
 
-// New returns a logger that writes JSON lines of at least the level, which is
-// one of debug, info, warn and error; an empty level is info.
+// New returns a logger that writes JSON lines of at least the given level, which is one of
+// debug, info, warn and error; an empty level is info.
 func New(w io.Writer, level, process string) (Logger, error) {
 	l := zerolog.InfoLevel
 	if level != "" {
@@ -27,5 +26,5 @@
 	return zerolog.New(zerolog.SyncWriter(w)).Level(l).With().Timestamp().Str("process", process).Logger(), nil
 }
 
-// Nop returns a logger that drops what it is given.
+// Nop returns a logger that discards everything.
 func Nop() Logger { return zerolog.Nop() }
