--- a/modules/errkind/errkind.go
+++ b/modules/errkind/errkind.go
@@ -12,7 +12,7 @@
 	"github.com/juju/errors"
 )
 
-// Kind is one entry of the closed list of error kinds.
+// Kind is an error kind.
 type Kind uint8
 
 // The closed list of error kinds.
@@ -43,25 +43,25 @@
 	kindCount
 )
 
-// Outcome says whether the request that an answer belongs to was run.
+// Outcome states whether the request of a response was executed.
 type Outcome string
 
-// The outcomes that an answer can state.
+// Outcomes that a response can state.
 const (
 	NotRun  Outcome = "not-run"
 	Unknown Outcome = "unknown"
 	Ran     Outcome = "ran"
 )
 
-// Response is the row of the table for one kind.
+// Response is the HTTP response for one kind.
 type Response struct {
 	Name       string
 	Status     int
 	Outcome    Outcome
-	RetryAfter time.Duration // default time to come back, 0 for none
+	RetryAfter time.Duration // default time until a retry, 0 for none
 }
 
-var table = [kindCount]Response{
+var responses = [kindCount]Response{
 	Internal:           {"internal", http.StatusInternalServerError, Unknown, 0},
 	BadRequest:         {"bad-request", http.StatusBadRequest, NotRun, 0},
 	Unauthorized:       {"unauthorized", http.StatusUnauthorized, NotRun, 0},
@@ -96,32 +96,32 @@
 	return kinds
 }
 
-// Response returns the table row of the kind.
+// Response returns the HTTP response for the kind.
 func (k Kind) Response() Response {
 	if k >= kindCount {
-		return table[Internal]
+		return responses[Internal]
 	}
-	return table[k]
+	return responses[k]
 }
 
-// String returns the name that the kind has in answers.
+// String returns the name that the kind has in responses.
 func (k Kind) String() string { return k.Response().Name }
 
-// Parse returns the kind with the given name, and false where there is none.
+// Parse returns the kind with the given name, and false if there is none.
 func Parse(name string) (Kind, bool) {
 	for k := range kindCount {
-		if table[k].Name == name {
+		if responses[k].Name == name {
 			return k, true
 		}
 	}
 	return Internal, false
 }
 
-// Error is an error with its kind, its message and the time to come back.
+// Error is an error with a kind, a message and the time until a retry.
 type Error struct {
 	Kind       Kind
 	Message    string
-	RetryAfter time.Duration // 0 takes the default of the kind
+	RetryAfter time.Duration // 0 selects the default of the kind
 }
 
 // Error returns the kind's name and the message.
@@ -132,13 +132,12 @@
 	return errors.Trace(&Error{Kind: k, Message: fmt.Sprintf(format, args...)})
 }
 
-// NewRetry returns an error of the kind that names the time to come back.
+// NewRetry returns an error of the kind that states the time until a retry.
 func NewRetry(k Kind, after time.Duration, format string, args ...any) error {
 	return errors.Trace(&Error{Kind: k, Message: fmt.Sprintf(format, args...), RetryAfter: after})
 }
 
-// Of returns the error of the closed list inside err, an Internal one where
-// there is none, and nil for nil.
+// Of returns the *Error in err's chain, an Internal one if there is none, and nil for nil.
 func Of(err error) *Error {
 	if err == nil {
 		return nil
@@ -155,13 +154,13 @@
 	return err != nil && Of(err).Kind == k
 }
 
-// IsErrConflict reports whether err names a clash with a newer version.
+// IsErrConflict reports whether err is a conflict with a newer version.
 func IsErrConflict(err error) bool { return Is(err, Conflict) }
 
-// IsErrLogUnavailable reports whether err says that the log can't be reached.
+// IsErrLogUnavailable reports whether err means that the log cannot be reached.
 func IsErrLogUnavailable(err error) bool { return Is(err, LogUnavailable) }
 
-// RetryDelay returns the time to come back, 0 for none.
+// RetryDelay returns the time until a retry, 0 for none.
 func (e *Error) RetryDelay() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
--- a/modules/errkind/errkind_test.go
+++ b/modules/errkind/errkind_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDocsListEveryKind holds the table of docs/API.md against the code.
+// TestDocsListEveryKind compares the table of docs/API.md with the code.
 func TestDocsListEveryKind(t *testing.T) {
 	data, err := os.ReadFile("../../docs/API.md")
 	assert.NilError(t, err)
@@ -38,9 +38,9 @@
 		seen[w.Header().Get("Retry-After")]++
 	}
 	assert.Equal(t, w.Code, 503)
-	assert.Equal(t, len(seen), 3, "callers must not come back at once: %v", seen)
+	assert.Equal(t, len(seen), 3, "callers must not retry together: %v", seen)
 	for _, s := range []string{"2", "3", "4"} {
-		assert.Assert(t, seen[s] > 0, "never told to come back after %s s", s)
+		assert.Assert(t, seen[s] > 0, "Retry-After is never %s s", s)
 	}
 	assert.Equal(t, w.Header().Get(HeaderOutcome), string(NotRun))
 	assert.Equal(t, strings.TrimSpace(w.Body.String()), `{"error":"overloaded","message":"full","outcome":"not-run","request_id":"r1"}`)
--- a/modules/errkind/response.go
+++ b/modules/errkind/response.go
@@ -13,13 +13,13 @@
 	"github.com/yardbridge/yardbridge/modules/bearer"
 )
 
-// HeaderOutcome is the answer header that states the outcome.
+// HeaderOutcome is the response header that states the outcome.
 const HeaderOutcome = "Yardbridge-Outcome"
 
-// HeaderKind is the answer header that names the error kind.
+// HeaderKind is the response header that names the error kind.
 const HeaderKind = "Yardbridge-Error"
 
-// Write answers an HTTP request with the table row of err's kind.
+// Write writes the HTTP response for err's kind.
 func Write(w http.ResponseWriter, requestID string, err error) {
 	e := Of(err)
 	row := e.Kind.Response()
@@ -31,7 +31,7 @@
 		header.Set("WWW-Authenticate", bearer.Scheme)
 	}
 	if after := e.RetryDelay(); after > 0 {
-		header.Set("Retry-After", strconv.Itoa(comeBack(after)))
+		header.Set("Retry-After", strconv.Itoa(retrySeconds(after)))
 	}
 	w.WriteHeader(row.Status)
 	body := struct {
@@ -40,14 +40,14 @@
 		Outcome   Outcome `json:"outcome"`
 		RequestID string  `json:"request_id,omitempty"`
 	}{row.Name, e.Message, row.Outcome, requestID}
-	// The status is out already, so a failed write has nobody to go to.
+	// The status is already sent, so a write error cannot be reported.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// comeBack returns the whole seconds that Retry-After names, which has no
-// fractions: up to twice the time, at random, so that callers that were refused
-// at once do not come back at once.
-func comeBack(d time.Duration) int {
+// retrySeconds returns the whole seconds for the Retry-After header, which has no
+// fractions: up to twice the time, at random, so that callers that were refused together do
+// not retry together.
+func retrySeconds(d time.Duration) int {
 	seconds := int((d + time.Second - 1) / time.Second)
 	return seconds + rand.IntN(seconds+1)
 }
