--- a/modules/bearer/bearer.go
+++ b/modules/bearer/bearer.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// Scheme is the scheme of the Authorization header; its case does not matter (RFC 9110).
+// Scheme is the scheme of the Authorization header, which is case-insensitive (RFC 9110).
 const Scheme = "Bearer"
 
-// Secret returns what a request bears, and false where it bears nothing: the header is
-// missing, stands more than once, names another scheme or no secret.
+// Secret returns the bearer token of a request, and false if the header is missing, occurs
+// more than once, has another scheme or no token.
 func Secret(r *http.Request) (string, bool) {
 	values := r.Header["Authorization"]
 	if len(values) != 1 {
--- a/modules/bearer/doc.go
+++ b/modules/bearer/doc.go
@@ -1,5 +1,5 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package bearer reads the secret that a request bears.
+// Package bearer parses the bearer token of a request.
 package bearer
--- a/modules/codec/codec.go
+++ b/modules/codec/codec.go
@@ -21,13 +21,13 @@
 	return mode
 }
 
-// Marshal returns the bytes of v.
+// Marshal returns the encoding of v.
 func Marshal(v any) ([]byte, error) {
 	data, err := encoder.Marshal(v)
 	return data, errors.Trace(err)
 }
 
-// Unmarshal reads data into v; fields that v does not have are passed over.
+// Unmarshal decodes data into v; fields that v does not have are ignored.
 func Unmarshal(data []byte, v any) error {
 	return errors.Trace(cbor.Unmarshal(data, v))
 }
--- a/modules/inflight/inflight.go
+++ b/modules/inflight/inflight.go
@@ -5,45 +5,45 @@
 
 import "sync"
 
-// Counter counts work under way; its zero value counts none.
+// Counter counts operations in progress; its zero value counts none.
 type Counter struct {
 	mu   sync.Mutex
 	n    int
-	zero chan struct{} // closed when n reaches 0; nil until somebody waits
+	idle chan struct{} // closed when n reaches 0; nil if nobody waits
 }
 
-// Begin counts one more.
+// Begin adds one operation.
 func (c *Counter) Begin() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.n++
 }
 
-// End counts one less.
+// End removes one operation.
 func (c *Counter) End() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.n--
-	if c.n == 0 && c.zero != nil {
-		close(c.zero)
-		c.zero = nil
+	if c.n == 0 && c.idle != nil {
+		close(c.idle)
+		c.idle = nil
 	}
 }
 
-// Idle returns a channel that is closed once nothing is under way.
+// Idle returns a channel that is closed once no operation is in progress.
 func (c *Counter) Idle() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.zero == nil {
-		c.zero = make(chan struct{})
+	if c.idle == nil {
+		c.idle = make(chan struct{})
 	}
-	zero := c.zero
+	idle := c.idle
 	if c.n == 0 {
-		close(c.zero)
-		c.zero = nil
+		close(c.idle)
+		c.idle = nil
 	}
-	return zero
+	return idle
 }
 
-// Wait returns once nothing is under way.
+// Wait returns once no operation is in progress.
 func (c *Counter) Wait() { <-c.Idle() }
--- a/modules/metrics/metrics.go
+++ b/modules/metrics/metrics.go
@@ -9,24 +9,24 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// Set is the measurements of one process.
+// Set holds the metrics of one process.
 type Set struct {
 	Registry gometrics.Registry
 
 	Requests    gometrics.Counter // requests of callers
 	Sends       gometrics.Counter // requests sent to targets
-	Retries     gometrics.Counter // of them, sent again
-	Refused     gometrics.Counter // answered as not run
-	Unknown     gometrics.Counter // answered with an unknown outcome
+	Retries     gometrics.Counter // of them, retries
+	Refused     gometrics.Counter // responses with the outcome not-run
+	Unknown     gometrics.Counter // responses with an unknown outcome
 	Keyed       gometrics.Counter // requests that run at most once
-	Latency     gometrics.Timer   // from a request's arrival to its answer's end
+	Latency     gometrics.Timer   // from the arrival of a request to the end of its response
 	PeerIn      gometrics.Counter // bytes from peers
 	PeerOut     gometrics.Counter // bytes to peers
 	PlatformIn  gometrics.Counter // bytes from the platform
 	PlatformOut gometrics.Counter // bytes to the platform
 }
 
-// New returns an empty set in a registry of its own.
+// New returns a set in a new registry.
 func New() *Set {
 	r := gometrics.NewRegistry()
 	return &Set{
@@ -51,8 +51,8 @@
 	in, out gometrics.Counter
 }
 
-// CountPeer returns a connection to a peer whose bytes are counted; a nil set
-// counts nothing.
+// CountPeer returns a connection to a peer whose bytes are counted; a nil set counts
+// nothing.
 func (s *Set) CountPeer(c net.Conn) net.Conn {
 	if s == nil {
 		return c
@@ -60,8 +60,8 @@
 	return countedConn{c, s.PeerIn, s.PeerOut}
 }
 
-// CountPlatform returns a connection to the platform whose bytes are counted;
-// a nil set counts nothing.
+// CountPlatform returns a connection to the platform whose bytes are counted; a nil set
+// counts nothing.
 func (s *Set) CountPlatform(c net.Conn) net.Conn {
 	if s == nil {
 		return c
@@ -69,17 +69,17 @@
 	return countedConn{c, s.PlatformIn, s.PlatformOut}
 }
 
-// NetConn returns the connection that is counted, which a reset is for.
+// NetConn returns the wrapped connection, which is needed to reset it.
 func (c countedConn) NetConn() net.Conn { return c.Conn }
 
-// Read counts what came.
+// Read reads and counts the bytes.
 func (c countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.in.Inc(int64(n))
 	return n, err
 }
 
-// Write counts what went.
+// Write writes and counts the bytes.
 func (c countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.out.Inc(int64(n))
--- a/modules/oncekey/oncekey.go
+++ b/modules/oncekey/oncekey.go
@@ -16,12 +16,12 @@
 // MaxLifetime is how far in the future a key may expire.
 const MaxLifetime = 24 * time.Hour
 
-// Format tells an operator or caller what a key looks like.
+// Format describes the format of keys in messages.
 const Format = "<unix seconds at which it expires>.<8 to 64 letters, digits, - or _>"
 
 var pattern = regexp.MustCompile(`^([0-9]{9,11})\.([A-Za-z0-9_-]{8,64})$`)
 
-// New returns a fresh random key that expires at the given time.
+// New returns a new random key that expires at the given time.
 func New(expiry time.Time) string {
 	return fmt.Sprintf("%d.%s", expiry.Unix(), rand.Text())
 }
@@ -34,13 +34,13 @@
 	}
 	seconds, err := strconv.ParseInt(m[1], 10, 64)
 	if err != nil {
-		return time.Time{}, errkind.New(errkind.BadRequest, "key %.80q has no readable expiry", key)
+		return time.Time{}, errkind.New(errkind.BadRequest, "key %.80q has an invalid expiry", key)
 	}
 	return time.Unix(seconds, 0), nil
 }
 
-// Check returns nil for a key that is valid at now, a KeyExpired error past
-// its expiry, and a BadRequest error for any other.
+// Check returns nil for a key that is valid at now, a KeyExpired error for an expired one,
+// and a BadRequest error for any other.
 func Check(key string, now time.Time) error {
 	expiry, err := Expiry(key)
 	if err != nil {
--- a/modules/rendezvous/doc.go
+++ b/modules/rendezvous/doc.go
@@ -1,5 +1,5 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package rendezvous picks owners by highest random weight hashing.
+// Package rendezvous selects owners by highest random weight hashing.
 package rendezvous
--- a/modules/rendezvous/rendezvous.go
+++ b/modules/rendezvous/rendezvous.go
@@ -5,8 +5,7 @@
 
 import "hash/fnv"
 
-// Owner returns the node with the highest weight for key, and "" where there
-// are no nodes.
+// Owner returns the node with the highest weight for key, and "" if there are no nodes.
 func Owner(key string, nodes []string) string {
 	best, owner := uint64(0), ""
 	for _, n := range nodes {
@@ -20,14 +19,14 @@
 
 func weight(key, node string) uint64 {
 	h := fnv.New64a()
-	// A hash never fails to take bytes.
+	// hash.Hash.Write never returns an error.
 	_, _ = h.Write([]byte(node))
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write([]byte(key))
 	return mix(h.Sum64())
 }
 
-// mix spreads the low bits of FNV, whose last input byte moves few high bits.
+// mix spreads the low bits of FNV, whose last input byte changes few high bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/modules/table/doc.go
+++ b/modules/table/doc.go
@@ -1,5 +1,5 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package table is an immutable sorted map whose zero value is empty.
+// Package table provides an immutable sorted map whose zero value is empty.
 package table
--- a/modules/table/groups.go
+++ b/modules/table/groups.go
@@ -5,24 +5,24 @@
 
 import "iter"
 
-// Groups maps keys to values within named groups; a group without keys does
-// not exist, and changes return new groups as those of Table do.
+// Groups maps keys to values within named groups. A group without keys does not exist.
+// Changes return new Groups, as with Table.
 type Groups[V any] struct {
 	groups Table[Table[V]]
 }
 
-// Of returns the table of a group, empty for none.
+// Of returns the table of a group, empty if there is none.
 func (g Groups[V]) Of(group string) Table[V] {
 	t, _ := g.groups.Get(group)
 	return t
 }
 
-// With returns the groups with the key of one set to the value.
+// With returns the groups with a key of one group set to the value.
 func (g Groups[V]) With(group, key string, v V) Groups[V] {
 	return Groups[V]{g.groups.With(group, g.Of(group).With(key, v))}
 }
 
-// Without returns the groups without the key of one.
+// Without returns the groups without a key of one group.
 func (g Groups[V]) Without(group, key string) Groups[V] {
 	rest := g.Of(group).Without(key)
 	if rest.Len() == 0 {
--- a/modules/table/table.go
+++ b/modules/table/table.go
@@ -9,13 +9,13 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// Table maps strings to values in sorted order; changes return a new table
-// that shares what did not change.
+// Table maps strings to values in sorted order. Changes return a new table that shares the
+// unchanged parts.
 type Table[V any] struct {
 	m *immutable.SortedMap[string, V] // nil while empty
 }
 
-// Get returns the value of a key, and false where there is none.
+// Get returns the value of a key, and false if there is none.
 func (t Table[V]) Get(key string) (V, bool) {
 	if t.m == nil {
 		var none V
--- a/modules/tlsconf/doc.go
+++ b/modules/tlsconf/doc.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The yardbridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package tlsconf makes the mutual TLS settings between entries from key files,
-// which are read again when they change.
+// Package tlsconf provides the mutual TLS configuration between entries from key files,
+// which are reloaded when they change.
 package tlsconf
--- a/modules/tlsconf/tlsconf.go
+++ b/modules/tlsconf/tlsconf.go
@@ -13,28 +13,27 @@
 	"github.com/juju/errors"
 )
 
-// PeerName is the DNS name that every entry's certificate bears.
+// PeerName is the DNS name in every entry's certificate.
 const PeerName = "yardbridge-peer"
 
-// Files names the key files; the paths are read at start and again whenever a
-// file changes.
+// Files names the key files; they are read at the start and again whenever a file changes.
 type Files struct {
 	Certificate string
 	Key         string
-	Authority   string // certificate that signed all entries' certificates
+	Authority   string // CA certificate that signed all entries' certificates
 }
 
-// Source holds what was read last.
+// Source provides TLS configurations from the most recently loaded files.
 type Source struct {
 	files Files
 
 	mu        sync.Mutex
-	stamp     [3]time.Time
+	modTimes  [3]time.Time
 	keyPair   *tls.Certificate
 	authority *x509.CertPool
 }
 
-// New reads the files once and fails where they can't be used.
+// New loads the files and fails if they are not usable.
 func New(files Files) (*Source, error) {
 	s := &Source{files: files}
 	if _, _, err := s.current(); err != nil {
@@ -43,14 +42,14 @@
 	return s, nil
 }
 
-// current returns the key pair and the authority, read anew if a file changed;
-// files that can't be used leave the former ones in force.
+// current returns the key pair and the CA pool, reloaded if a file has changed; if the new
+// files are not usable, the previous ones stay in force.
 func (s *Source) current() (*tls.Certificate, *x509.CertPool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	stamp, err := s.files.stamp()
-	if err == nil && stamp != s.stamp {
-		err = s.read(stamp)
+	modTimes, err := s.files.modTimes()
+	if err == nil && modTimes != s.modTimes {
+		err = s.load(modTimes)
 	}
 	if err != nil && s.keyPair == nil {
 		return nil, nil, err
@@ -58,22 +57,22 @@
 	return s.keyPair, s.authority, nil
 }
 
-func (f Files) stamp() ([3]time.Time, error) {
-	var stamp [3]time.Time
+func (f Files) modTimes() ([3]time.Time, error) {
+	var modTimes [3]time.Time
 	for i, name := range []string{f.Certificate, f.Key, f.Authority} {
 		info, err := os.Stat(name)
 		if err != nil {
-			return stamp, errors.Trace(err)
+			return modTimes, errors.Trace(err)
 		}
-		stamp[i] = info.ModTime()
+		modTimes[i] = info.ModTime()
 	}
-	return stamp, nil
+	return modTimes, nil
 }
 
-func (s *Source) read(stamp [3]time.Time) error {
+func (s *Source) load(modTimes [3]time.Time) error {
 	pair, err := tls.LoadX509KeyPair(s.files.Certificate, s.files.Key)
 	if err != nil {
-		return errors.Annotatef(err, "key pair %s, %s", s.files.Certificate, s.files.Key)
+		return errors.Annotatef(err, "loading key pair %s, %s", s.files.Certificate, s.files.Key)
 	}
 	pem, err := os.ReadFile(s.files.Authority)
 	if err != nil {
@@ -81,13 +80,13 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return errors.Errorf("%s holds no certificate", s.files.Authority)
+		return errors.Errorf("%s contains no certificate", s.files.Authority)
 	}
-	s.keyPair, s.authority, s.stamp = &pair, pool, stamp
+	s.keyPair, s.authority, s.modTimes = &pair, pool, modTimes
 	return nil
 }
 
-// Server returns the settings of a listener that takes only entries.
+// Server returns the configuration of a listener that accepts only entries.
 func (s *Source) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -106,7 +105,7 @@
 	}
 }
 
-// Client returns the settings of a connection to an entry.
+// Client returns the configuration of a connection to an entry.
 func (s *Source) Client() (*tls.Config, error) {
 	pair, authority, err := s.current()
 	if err != nil {
