--- a/modules/bearer/bearer.go
+++ b/modules/bearer/bearer.go
@@ -18,6 +18,6 @@
 	if len(values) != 1 {
 		return "", false
 	}
-	scheme, secret, has := strings.Cut(values[0], " ")
-	return secret, has && secret != "" && strings.EqualFold(scheme, Scheme)
+	scheme, secret, ok := strings.Cut(values[0], " ")
+	return secret, ok && secret != "" && strings.EqualFold(scheme, Scheme)
 }
--- a/modules/httpserve/stop_test.go
+++ b/modules/httpserve/stop_test.go
@@ -205,7 +205,7 @@
 	address, err := s.Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	go s.Run(t.Context())
-	stuck, half, silent := connect(t, address), connect(t, address), connect(t, address)
+	stuck, half, unused := connect(t, address), connect(t, address), connect(t, address)
 	assert.NilError(t, stuck.post(""))
 	_, err = fmt.Fprint(half.conn, "POST / HT")
 	assert.NilError(t, err)
@@ -213,7 +213,7 @@
 	bounded, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	assert.ErrorContains(t, <-beginShutdown(bounded, s), "open connections")
-	for _, c := range []*caller{stuck, half, silent} {
+	for _, c := range []*caller{stuck, half, unused} {
 		_, _, _, err := c.readResponse()
 		assert.Assert(t, err != nil, "the connection is still open")
 	}
--- a/modules/rpcconn/client_test.go
+++ b/modules/rpcconn/client_test.go
@@ -52,12 +52,12 @@
 }
 
 // blackhole makes all open connections drop the given directions.
-func (h *testServer) blackhole(requests, answers bool) {
+func (h *testServer) blackhole(requests, responses bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.conns {
 		c.dropRequests.Store(requests)
-		c.dropResponses.Store(answers)
+		c.dropResponses.Store(responses)
 	}
 }
 
--- a/modules/rpcconn/server_test.go
+++ b/modules/rpcconn/server_test.go
@@ -38,8 +38,8 @@
 	t.Helper()
 	assert.NilError(t, c.SetReadDeadline(time.Now().Add(20*time.Second)))
 	_, err := c.Read(make([]byte, 1))
-	timeout, is := err.(net.Error) //nolint:errorlint // the connection's own error
-	assert.Assert(t, err != nil && (!is || !timeout.Timeout()), "the connection stays open: %v", err)
+	timeout, ok := err.(net.Error) //nolint:errorlint // the connection's own error
+	assert.Assert(t, err != nil && (!ok || !timeout.Timeout()), "the connection stays open: %v", err)
 }
 
 // TestIdleConnectionIsClosed: a connection that becomes unresponsive, or is never used,
--- a/modules/rpcconn/watch.go
+++ b/modules/rpcconn/watch.go
@@ -29,7 +29,7 @@
 // find out that the connection is unresponsive; such a call closes the connection itself.
 func (p *peer) watch(ctx context.Context, began time.Time) *watch {
 	delay := p.retryPolicy.RetryDelay()
-	if limit, has := ctx.Deadline(); has && limit.Sub(began) < delay+pingGrace {
+	if limit, ok := ctx.Deadline(); ok && limit.Sub(began) < delay+pingGrace {
 		return nil
 	}
 	w := &watch{peer: p, ctx: ctx, reads: p.conn.ReadCount(), interval: delay, startedAt: began}
--- a/modules/silence/silence.go
+++ b/modules/silence/silence.go
@@ -62,8 +62,8 @@
 // RemoteClosed reports whether the remote end has closed a connection on which nothing is
 // expected, or has sent unrequested data. It makes a system call and does not block.
 func (c *Conn) RemoteClosed() bool {
-	raw, has := innermost(c.Conn).(syscall.Conn)
-	if !has {
+	raw, ok := innermost(c.Conn).(syscall.Conn)
+	if !ok {
 		return false
 	}
 	control, err := raw.SyscallConn()
@@ -92,7 +92,7 @@
 // closed first, because closing a TLS connection around it would take seconds to send the
 // close notification.
 func (c *Conn) Reset() {
-	if t, isTCP := innermost(c.Conn).(*net.TCPConn); isTCP {
+	if t, ok := innermost(c.Conn).(*net.TCPConn); ok {
 		// If the option cannot be set, the connection is closed normally.
 		_ = t.SetLinger(0)
 		_ = t.Close() // it may be closed already
@@ -103,8 +103,8 @@
 // innermost returns the connection that the others wrap.
 func innermost(c net.Conn) net.Conn {
 	for {
-		w, wraps := c.(interface{ NetConn() net.Conn }) // as crypto/tls connections have it
-		if !wraps {
+		w, ok := c.(interface{ NetConn() net.Conn }) // as crypto/tls connections have it
+		if !ok {
 			return c
 		}
 		c = w.NetConn()
--- a/standin/run.go
+++ b/standin/run.go
@@ -28,7 +28,7 @@
 	Server  *Server
 	Address string
 
-	surface *httpserve.Server
+	httpServer *httpserve.Server
 }
 
 // Options change the stand-in's behaviour; zero values select the defaults.
@@ -56,8 +56,8 @@
 		Platform: &Platform{Lag: orDefault(o.Lag, defaultLag), BootTime: orDefault(o.BootTime, defaultBootTime)},
 		Targets:  make(map[string]*Target),
 	}
-	surface := &httpserve.Server{Handler: s.Handler(), ReadTimeout: readTimeout}
-	address, err := surface.Listen(o.Address)
+	httpServer := &httpserve.Server{Handler: s.Handler(), ReadTimeout: readTimeout}
+	address, err := httpServer.Listen(o.Address)
 	if err != nil {
 		return nil, errors.Annotate(err, "stand-in")
 	}
@@ -73,8 +73,8 @@
 		s.Targets[w.ID] = t
 		s.Platform.SetWorker(w)
 	}
-	r := &RunningServer{Server: s, Address: address, surface: surface}
-	go surface.Run(context.Background())
+	r := &RunningServer{Server: s, Address: address, httpServer: httpServer}
+	go httpServer.Run(context.Background())
 	return r, nil
 }
 
@@ -86,14 +86,14 @@
 func (r *RunningServer) Stop(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, stopLimit)
 	defer cancel()
-	err := r.surface.Shutdown(bounded)
+	err := r.httpServer.Shutdown(bounded)
 	r.Close(ctx)
 	return errors.Trace(err)
 }
 
 // Close closes the stand-in and its targets immediately.
 func (r *RunningServer) Close(context.Context) {
-	_ = r.surface.Close()
+	_ = r.httpServer.Close()
 	for _, t := range r.Server.Targets {
 		_ = t.Close()
 	}
--- a/standin/tasks.go
+++ b/standin/tasks.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func (p *Platform) renewTasks(_ context.Context, worker string, ids []string, life time.Duration) error {
+func (p *Platform) renewTasks(_ context.Context, worker string, ids []string, lease time.Duration) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.advance()
@@ -126,7 +126,7 @@
 	}
 	for _, id := range ids {
 		if t, ok := m.tasks[id]; ok && t.state == platform.TaskRunning {
-			t.leaseEnds = p.Clock.Now().Add(life)
+			t.leaseEnds = p.Clock.Now().Add(lease)
 		}
 	}
 	return nil
--- a/standin/world/advice.go
+++ b/standin/world/advice.go
@@ -62,8 +62,8 @@
 // validTicket reports whether a start on a worker carries a valid ticket. The caller holds
 // w.mu.
 func (w *World) validTicket(o *Worker, s port.Start) bool {
-	valid, has := w.ticketValidity[o.info.Pool]
-	if !has {
+	valid, ok := w.ticketValidity[o.info.Pool]
+	if !ok {
 		return true
 	}
 	ref, err := job.ParseTask(s.Task)
