--- a/standin/world/network.go
+++ b/standin/world/network.go
@@ -109,8 +109,11 @@
 
 type address string
 
+// Network returns the name of the model's network.
 func (a address) Network() string { return "model" }
-func (a address) String() string  { return string(a) }
+
+// String returns the address.
+func (a address) String() string { return string(a) }
 
 // conn is a connection that passes nothing any more once something was sent while one of
 // its nodes was cut off: on a stream, everything that follows lost bytes is lost too.
