--- a/standin/world/link.go
+++ b/standin/world/link.go
@@ -110,7 +110,7 @@
 	step, size := o.w.checkStart(node, o, s)
 	duration := step.Estimate
 	if step.LongRunning {
-		duration = lastingTime
+		duration = longRunningStart
 	}
 	r = &running{task: s.Task, number: s.Number, spec: s.Spec, size: size, startedAt: time.Now(), remaining: duration, duration: duration, countedAt: time.Now(), step: step, cpuShare: fullPercent}
 	o.runs[s.Task] = r
--- a/standin/world/worker.go
+++ b/standin/world/worker.go
@@ -45,13 +45,13 @@
 
 // Durations of a worker's operations.
 const (
-	orderTime   = 2 * time.Millisecond
-	stopTime    = 200 * time.Millisecond
-	lastingTime = 300 * time.Millisecond // until a long-running task is working
-	clockStart  = 100 * time.Second
-	gangTime    = 3 * time.Second       // that the members of a gang wait for each other
-	gangPoll    = 20 * time.Millisecond // interval at which a waiting member checks again
-	fullPercent = 100                   // percent
+	orderTime        = 2 * time.Millisecond
+	stopTime         = 200 * time.Millisecond
+	longRunningStart = 300 * time.Millisecond // until a long-running task is working
+	clockStart       = 100 * time.Second
+	gangTime         = 3 * time.Second       // that the members of a gang wait for each other
+	gangPoll         = 20 * time.Millisecond // interval at which a waiting member checks again
+	fullPercent      = 100
 )
 
 // AddWorker starts a worker on an instance in a pool and lists it.
