--- a/modules/rpcconn/client_test.go
+++ b/modules/rpcconn/client_test.go
@@ -105,25 +105,25 @@
 // waiting call fails long before its timeout, and the next call works. The client makes no
 // call twice: if the outcome is unknown, retrying is up to the caller.
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
-	ways := map[string]struct{ requests, answers bool }{"requests": {true, false}, "answers": {false, true}, "both": {true, true}}
-	for name, w := range ways {
+	directions := map[string]struct{ requests, responses bool }{"requests": {true, false}, "answers": {false, true}, "both": {true, true}}
+	for name, w := range directions {
 		t.Run(name, func(t *testing.T) {
 			h, client := serve(t)
 			var found atomic.Int64
 			client.OnUnresponsive = func(string, time.Duration) { found.Add(1) }
 			assert.NilError(t, callWithTimeout(client, h, "work"))
-			h.blackhole(w.requests, w.answers)
+			h.blackhole(w.requests, w.responses)
 			began := time.Now()
 			assert.Assert(t, callWithTimeout(client, h, "work") != nil)
 			assert.Assert(t, time.Since(began) < 10*time.Second, "it took %s", time.Since(began))
 			assert.NilError(t, callWithTimeout(client, h, "work"))
 			assert.Equal(t, h.opened.Load(), int64(2))
 			assert.Equal(t, found.Load(), int64(1))
-			most := int64(2)
+			want := int64(2)
 			if !w.requests {
-				most = 3
+				want = 3
 			}
-			assert.Equal(t, h.calls.Load(), most)
+			assert.Equal(t, h.calls.Load(), want)
 		})
 	}
 }
