--- a/models/record/record.go
+++ b/models/record/record.go
@@ -18,7 +18,7 @@
 	Gone       *Gone       `cbor:"3,keyasint,omitempty"`
 	Lease      *Lease      `cbor:"4,keyasint,omitempty"`
 	Apply      *Apply      `cbor:"5,keyasint,omitempty"`
-	ListUpdate *ListUpdate `cbor:"6,keyasint,omitempty"`
+	ListUpdate *ListUpdate `cbor:"6,keyasint,omitempty" json:"Sighting"`
 	Move       *Move       `cbor:"7,keyasint,omitempty"`
 	Drain      *Drain      `cbor:"8,keyasint,omitempty"`
 	Drained    *Drained    `cbor:"9,keyasint,omitempty"`
@@ -31,14 +31,14 @@
 	Cancel     *Cancel     `cbor:"16,keyasint,omitempty"`
 	Place      *Place      `cbor:"17,keyasint,omitempty"`
 	Progress   *Progress   `cbor:"18,keyasint,omitempty"`
-	Eject      *Eject      `cbor:"19,keyasint,omitempty"`
+	Eject      *Eject      `cbor:"19,keyasint,omitempty" json:"SetAside"`
 	Snapshot   *Snapshot   `cbor:"20,keyasint,omitempty"`
 }
 
 // Join adds the writer's process to the membership of entries.
 type Join struct {
 	Address    string `cbor:"1,keyasint"` // IP and port for peers
-	DataCenter string `cbor:"2,keyasint"`
+	DataCenter string `cbor:"2,keyasint" json:"Hall"`
 }
 
 // Leave removes the writer from the membership after it has finished its work.
@@ -66,7 +66,7 @@
 // Lease acquires or renews a role for the writer.
 type Lease struct {
 	Role Role          `cbor:"1,keyasint"`
-	TTL  time.Duration `cbor:"2,keyasint"`
+	TTL  time.Duration `cbor:"2,keyasint" json:"Life"`
 }
 
 // Apply replaces whole declarative objects.
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -55,12 +55,12 @@
 	BodyBytes            int64             `toml:"body_bytes"`
 	HeaderBytes          int               `toml:"header_bytes"`
 	ReadTimeout          tomlfile.Duration `toml:"read_timeout"`
-	MaxConnections       int               `toml:"connections"`        // open connections of callers
-	MaxTargetConnections int               `toml:"target_connections"` // to one target, from all entries
-	TargetSlots          int               `toml:"target_slots"`       // of one target
-	MaxEntries           int               `toml:"entries"`            // the most entries that run at the same time
-	ShutdownDelay        tomlfile.Duration `toml:"withdraw"`           // from not ready until the listener is closed
-	StaleAfter           tomlfile.Duration `toml:"stale"`              // time without log or peers after which the entry is not ready
+	MaxConnections       int               `toml:"connections" json:"Connections"`              // open connections of callers
+	MaxTargetConnections int               `toml:"target_connections" json:"TargetConnections"` // to one target, from all entries
+	TargetSlots          int               `toml:"target_slots"`                                // of one target
+	MaxEntries           int               `toml:"entries" json:"Entries"`                      // the most entries that run at the same time
+	ShutdownDelay        tomlfile.Duration `toml:"withdraw" json:"Withdraw"`                    // from not ready until the listener is closed
+	StaleAfter           tomlfile.Duration `toml:"stale" json:"Stale"`                          // time without log or peers after which the entry is not ready
 }
 
 // Log configures logging.
