--- a/services/owner/fence_test.go
+++ b/services/owner/fence_test.go
@@ -29,13 +29,13 @@
 		w := world.New(1)
 		queues := []config.Queue{{Name: "q", Host: "h", PathPrefix: "/q/", Pool: "p", MaxAttempts: 3, Stretch: 1.5, BaseObjective: time.Second}}
 		first := open(t, w)
-		var frozen, taken atomic.Bool
+		var frozen, takenOver atomic.Bool
 		appendRecords := first.Journal.Store.Append
 		first.Journal.Store.Append = func(ctx context.Context, p port.Partition, wr port.Writer, records []port.Record) error {
 			err := appendRecords(ctx, p, wr, records)
 			if len(records) > 0 && frozen.CompareAndSwap(true, false) {
 				open(t, w) // fences the first owner
-				taken.Store(true)
+				takenOver.Store(true)
 				time.Sleep(5 * time.Second)
 			}
 			return err
@@ -64,7 +64,7 @@
 		submitted := make(chan error, 1)
 		go func() { submitted <- first.Submit(ctx, submission("1")) }()
 		time.Sleep(10 * time.Second)
-		assert.Assert(t, taken.Load(), "the pool was not taken over")
+		assert.Assert(t, takenOver.Load(), "the pool was not taken over")
 		assert.Equal(t, starts.Load(), int32(0), "a run that was persisted before another node took the pool over is started")
 		cancel()
 		<-ended
--- a/services/owner/link.go
+++ b/services/owner/link.go
@@ -201,18 +201,18 @@
 		return false
 	}
 	o.updateIsolation()
-	id, poll, known := o.pool.BeginPoll(l.id, wait, o.Clock.Now())
+	pending, request, known := o.pool.BeginPoll(l.id, wait, o.Clock.Now())
 	o.mu.Unlock()
 	if !known {
 		return true // the owner is about to close the link
 	}
-	listing, response := l.port.Poll(l.ctx, poll)
+	listing, response := l.port.Poll(l.ctx, request)
 	o.mu.Lock()
 	if l.ctx.Err() != nil {
 		o.mu.Unlock()
 		return false // a closed link's missing response says nothing about the worker
 	}
-	o.pool.EndPoll(id, listing, response, o.Clock.Now())
+	o.pool.EndPoll(pending, listing, response, o.Clock.Now())
 	o.processPending()
 	o.mu.Unlock()
 	l.wake()
--- a/services/owner/overload_test.go
+++ b/services/owner/overload_test.go
@@ -134,8 +134,9 @@
 }
 
 // TestOverloadServesSomeInTime guards against an overloaded pool that completes nothing in time.
-// Under three times the load that the pool can serve, it still completes jobs in time, and not all
-// of them at the last moment. It rejects the remaining jobs at once, with a retry time.
+// Under three times the load that the pool can serve, it still completes jobs within the objective,
+// instead of completing each as late as is of value. It rejects the other jobs at once, with a
+// retry time.
 func TestOverloadServesSomeInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := serveLoad(t, map[string]int{"": 20})[""]
--- a/services/owner/owner.go
+++ b/services/owner/owner.go
@@ -87,8 +87,8 @@
 // three seconds before it starts them again, so they have ended by then.
 const unconfirmedLimit = 2 * time.Second
 
-// updateIsolation records whether this owner could learn of a newer owner from the store or from
-// another node. The lock is held.
+// updateIsolation records whether this owner is isolated: it could learn of a newer owner neither
+// from the store nor from another node. The lock is held.
 func (o *Owner) updateIsolation() {
 	isolated := o.NoPeers != nil && o.Clock.Now().Sub(o.Journal.LastConfirmed()) > unconfirmedLimit && o.NoPeers()
 	if isolated == o.pool.Isolated {
--- a/services/owner/submit.go
+++ b/services/owner/submit.go
@@ -73,13 +73,13 @@
 	}
 	if step, beyond := o.pool.ExceedsLimit(s); beyond {
 		o.Logger.Info().Str("event", "submit").Str("job", string(s.ID)).Str("customer", s.Customer).Int("step", step).Str("outcome", "refused").
-			Msg("job rejected: it exceeds what its customer may have running")
+			Msg("job rejected: tasks that start together exceed its customer's limit")
 		return 0, errkind.New(errkind.Infeasible, "step %d: the tasks that start together exceed the limit of running tasks of customer %s", step, s.Customer)
 	}
-	if full := o.pool.ExcessWait(s, o.Clock.Now()); full > 0 {
-		o.Logger.Info().Str("event", "submit").Str("job", string(s.ID)).Dur("full", full).Str("outcome", "refused").
+	if excess := o.pool.ExcessWait(s, o.Clock.Now()); excess > 0 {
+		o.Logger.Info().Str("event", "submit").Str("job", string(s.ID)).Dur("full", excess).Str("outcome", "refused").
 			Msg("job rejected: it would not complete in time")
-		return 0, errkind.NewRetry(errkind.Overloaded, full, "the pool is full; a job submitted now would be %s late", full.Round(time.Millisecond))
+		return 0, errkind.NewRetry(errkind.Overloaded, excess, "the pool is full; a job submitted now would be %s late", excess.Round(time.Millisecond))
 	}
 	return o.pool.Submit(s, o.Clock.Now()), nil
 }
--- a/services/owner/submit_test.go
+++ b/services/owner/submit_test.go
@@ -72,9 +72,9 @@
 }
 
 // TestReportOnASlowStore guards against reports that wait for a slow store. The store takes 0.3 s
-// to respond, and the holder of the role for instances waits 0.4 s for a report. The report must
-// arrive at once and must not count a worker as empty whose cordon is not persisted. Otherwise the
-// holder would not learn of a surge's demand while the store is slow.
+// to respond, and the holder of the instances role waits 0.4 s for a report. The report must arrive
+// at once and must not count a worker as empty whose cordon is not persisted. Otherwise the holder
+// would not learn of a surge's demand while the store is slow.
 func TestReportOnASlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const storeLatency, maxReportTime = 300 * time.Millisecond, 200 * time.Millisecond
