--- a/services/scheduler/advice.go
+++ b/services/scheduler/advice.go
@@ -23,7 +23,7 @@
 }
 
 // The limits of requests to the advice service, which processes them one after the other and takes
-// its time for each worker.
+// some time for each worker in a request.
 const (
 	maxAdviceWorkers = 30                     // workers per request; the number that a job's objective accounts for
 	ticketMargin     = 150 * time.Millisecond // minimum remaining validity of a ticket, for its order to arrive
@@ -144,7 +144,7 @@
 }
 
 // excludedEverywhere reports whether the advice service permits a step on none of the current
-// workers: it waits for another one, which is permitted about as often as these.
+// workers: the step waits for a new one, which is as likely to be permitted as any.
 func (p *Pool) excludedEverywhere(s *stepState, now time.Time) bool {
 	if len(s.excluded) == 0 {
 		return false
@@ -191,11 +191,11 @@
 	for _, id := range q.Workers {
 		s.excluded[id] = true
 	}
-	valid := s.job.queue.Advice
+	policy := s.job.queue.Advice
 	for _, t := range tickets {
 		delete(s.excluded, t.Worker)
-		if w := p.workers[t.Worker]; w != nil && valid != nil && slices.Contains(q.states, w) {
-			w.tickets[s.ref] = ticket{t.Text, now.Add(valid.TicketValidity)}
+		if w := p.workers[t.Worker]; w != nil && policy != nil && slices.Contains(q.states, w) {
+			w.tickets[s.ref] = ticket{t.Text, now.Add(policy.TicketValidity)}
 		}
 	}
 	p.needsPlan = true
--- a/services/scheduler/arrival_test.go
+++ b/services/scheduler/arrival_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestExpectedRiseEnds checks that the forecast after a surge that ends abruptly does not exceed
-// the demand before.
+// TestExpectedRiseEnds guards against a forecast that stays high after a surge has ended abruptly:
+// half a second later it is not much above the surge, and three seconds later it is low.
 func TestExpectedRiseEnds(t *testing.T) {
 	for seed := range uint64(10) {
 		seen := simulate(seed, func(at time.Duration) float64 {
--- a/services/scheduler/cordon.go
+++ b/services/scheduler/cordon.go
@@ -106,7 +106,7 @@
 	Waiting     job.Size            `json:"waiting"`          // demand of the other runnable tasks that wait for capacity
 	Required    job.Size            `json:"presses"`          // the part of Waiting that is needed to finish all of them in time
 	Overdue     job.Size            `json:"overdue"`          // demand of runnable tasks whose jobs are of no value any more, but must be completed
-	MinWorkers  int                 `json:"apart"`            // workers that a step needs because of its limit on tasks per worker
+	MinWorkers  int                 `json:"apart"`            // least number of workers: by a limit on tasks per worker, or one more than now if these may not suit a task
 	Slack       time.Duration       `json:"slack"`            // mean slack of jobs at submission; 0 if there were none
 	Labels      map[string]job.Size `json:"labels,omitempty"` // demand of tasks that need a label, by label; counted only here
 	Quota       quota.Report        `json:"quota"`
@@ -157,8 +157,8 @@
 	return r
 }
 
-// maintenanceStuck reports whether long-running tasks have for long found no place outside a worker
-// whose instance must be maintained: another worker may help.
+// maintenanceStuck reports whether long-running tasks on a worker whose instance must be maintained
+// have found no place elsewhere for too long: another worker may help.
 func (p *Pool) maintenanceStuck(now time.Time) bool {
 	for _, w := range p.workers {
 		if w.maintenanceOverdue(now) {
@@ -168,8 +168,8 @@
 	return false
 }
 
-// maintenanceOverdue reports whether the time is over in which long-running tasks may look for a
-// place outside a worker whose instance must be maintained.
+// maintenanceOverdue reports whether long-running tasks on a worker whose instance must be
+// maintained have waited for a place elsewhere for longer than maintenanceGrace.
 func (w *workerState) maintenanceOverdue(now time.Time) bool {
 	return !w.maintenanceSince.IsZero() && now.Sub(w.maintenanceSince) > maintenanceGrace && w.longRunningRuns > 0
 }
@@ -268,7 +268,7 @@
 	}
 }
 
-// maintenanceGrace is how long long-running tasks may look for another place before they are
+// maintenanceGrace is how long long-running tasks may wait for a place elsewhere before they are
 // stopped for their instance's maintenance.
 const maintenanceGrace = 5 * time.Second
 
@@ -293,8 +293,8 @@
 	}
 }
 
-// minMoveGain is how much more remaining time than the stop takes makes moving a run with
-// checkpoints worthwhile.
+// minMoveGain is by how much the remaining time of a run with checkpoints must exceed the time that
+// stopping it takes for a move to be worthwhile.
 const minMoveGain = 1500 * time.Millisecond
 
 func (p *Pool) evacuateRun(w *workerState, u *run, now time.Time) {
--- a/services/scheduler/crash.go
+++ b/services/scheduler/crash.go
@@ -14,11 +14,11 @@
 
 // A worker that crashes ends all its runs without reporting an end for any of them. One of the
 // tasks may be the cause and would crash the next worker as well; the others are not, and must
-// still be completed. So each task keeps the workers that crashed while running it, for any owner
-// of the pool. A suspect is started where the least is lost with it, apart from other suspects, and
-// nothing is started beside it until it has been running for a while: a second crash then tells it
-// apart from the others. Its job is failed early enough that start orders unknown to the current
-// owner still stay within the users' limit, which is two starts after the third crash.
+// still be completed. So the crashes of workers under each task are recorded and persisted, for
+// whoever owns the pool. A suspect is started where the least is lost with it, apart from other
+// suspects, and nothing is started beside it until it has been running for a while: a second crash
+// then tells it apart from the others. Its job is failed early enough that the users' limit, which
+// is two starts after the third crash, leaves room for starts unknown to the current owner.
 
 // The limits for crashes attributed to a task.
 const (
@@ -47,7 +47,8 @@
 	// correlationWindow is the time within which workers that become unresponsive may have one
 	// common cause, such as a rack, a switch or a data centre, rather than one task each.
 	correlationWindow = time.Second
-	// crashRetention is how long it may take until all crashes of one moment are known.
+	// crashRetention is how long a crash is remembered in order to find correlated ones: it may
+	// take as long until all crashes of one moment are known.
 	crashRetention = 15 * time.Second
 )
 
@@ -93,7 +94,7 @@
 // suspects returns the runs that a worker had started, or may have, when its incarnation ended:
 // none if it left as planned or was taken down by an order.
 func (p *Pool) suspects(w *workerState, kind exitKind) []suspect {
-	if kind == exitOrdered || w.info.Draining || w.answersUnlisted {
+	if kind == exitOrdered || w.info.Draining || w.respondedUnlisted {
 		return nil
 	}
 	var list []suspect
--- a/services/scheduler/crash_test.go
+++ b/services/scheduler/crash_test.go
@@ -53,7 +53,7 @@
 	d.poll(id, worker.PollResult{}, otherIncarnation)
 }
 
-// disconnect has a worker unresponsive until its leases expire.
+// disconnect makes a worker unresponsive until its leases have expired.
 func (d *testPool) disconnect(id worker.ID) {
 	d.t.Helper()
 	d.poll(id, worker.PollResult{}, port.Response{Result: port.Unknown})
@@ -281,12 +281,13 @@
 	assert.Equal(t, d.Has("1"), false)
 }
 
-// TestStartForAnotherIncarnationIsNoCrash guards against LOST: many workers exit at one moment,
-// unnoticed yet, and a task of one of them is placed on one after the other of them. Each time a
-// later incarnation of the instance responds to the start order, or to the one beside it: the run
-// never started, so no crash is attributed to its task, and its job does not fail. On a benchmark
-// day, a job was reported as failed after one crash under another task and three orders that
-// reached nobody; the log shows that other incarnations responded to the three starts.
+// TestStartForAnotherIncarnationIsNoCrash guards against a job that is reported as failed although
+// it could be completed (violation LOST). Many workers exit at one moment, which is not noticed
+// yet, and a task of one of them is placed on the others one after another. Each time a later
+// incarnation of the instance responds to the start order, or to another order sent with it: the
+// run never started, so no crash is attributed to its task. A job failed this way after one crash
+// of a worker that it shared with another task, and three start orders to which later incarnations
+// responded.
 func TestStartForAnotherIncarnationIsNoCrash(t *testing.T) {
 	d := newTestPool(t, 1)
 	d.submit("1", 2)
@@ -327,9 +328,9 @@
 	assert.Equal(t, len(o.Run.task().crashes), 1)
 }
 
-// TestPossibleCauseIsNotCleared guards against BUDGET: a task that had been restored when its
-// worker crashed may be the cause, even though another task under which that worker crashed is
-// failed.
+// TestPossibleCauseIsNotCleared guards against a task that is started too often after crashes
+// (violation BUDGET): a task whose run had been restored when its worker crashed may be the cause,
+// even though the job of another task under which that worker crashed is failed.
 func TestPossibleCauseIsNotCleared(t *testing.T) {
 	d := newTestPool(t, 1)
 	d.submit("1", 1)
@@ -353,9 +354,9 @@
 	assert.Equal(t, len(d.firstTask("1").crashes), 1)
 }
 
-// TestRunThatMayNotHaveStartedDecidesNothing guards against LOST: a job that could finish is
-// reported as failed because a worker crashed under its task and another one crashed before it had
-// accepted the start.
+// TestRunThatMayNotHaveStartedDecidesNothing guards against a job that is reported as failed
+// although it could be completed (violation LOST): a worker crashed under its task, and another one
+// crashed before it had accepted the start.
 func TestRunThatMayNotHaveStartedDecidesNothing(t *testing.T) {
 	d := newTestPool(t, 1)
 	d.submit("1", 1)
--- a/services/scheduler/fair.go
+++ b/services/scheduler/fair.go
@@ -11,12 +11,12 @@
 )
 
 // When the capacity does not suffice for all waiting tasks, customers that use less of the pool
-// than their share come before the others, however urgent the work of those is; among each group,
+// than their share come before the others, however urgent the work of those is; within each group,
 // urgency decides. The use of a customer is that of its dominant resource, the one of which it uses
 // the largest share. With five customers of equal shares, one of whom submits a hundred times its
 // own, all jobs of the others are in time; ordered by share within each urgency, 0.85 of them are,
 // since work that was about to lose its value came first, and by urgency alone 0.73
-// (TestFloodTakesNothingFromOthers).
+// (TestFloodDoesNotAffectOtherCustomers).
 
 // usageSpan is the time constant of a customer's average use: jobs arrive one by one, and each
 // takes more than its customer's share while it runs.
--- a/services/scheduler/fair_test.go
+++ b/services/scheduler/fair_test.go
@@ -42,7 +42,7 @@
 	now := time.Unix(1000, 0)
 	for i := range 40 {
 		w := p.addWorker(worker.Worker{ID: worker.ID(fmt.Sprint("w", i)), Capacity: job.Size{CPU: 16000, MemoryMB: 64000}})
-		w.contacted, w.listed = true, true
+		w.hasResponded, w.listed = true, true
 	}
 	for i := range 300 {
 		s := job.Submission{ID: job.ID(fmt.Sprintf("%016x", i)), Queue: "h/", Steps: []job.Step{{Count: 10, Size: job.Size{CPU: 2000, MemoryMB: 100}, Estimate: time.Second}}}
--- a/services/scheduler/lateend_test.go
+++ b/services/scheduler/lateend_test.go
@@ -64,7 +64,8 @@
 	assert.Equal(t, stops, 1)
 }
 
-// TestLostRunThatFailed counts one attempt of its task.
+// TestLostRunThatFailed: the failure of a run that was declared lost uses up one attempt of its
+// task, even if its end is listed twice.
 func TestLostRunThatFailed(t *testing.T) {
 	d := newTestPoolWithLostRun(t)
 	d.jobs["1"].queue.MaxAttempts = 1
--- a/services/scheduler/orders.go
+++ b/services/scheduler/orders.go
@@ -18,8 +18,8 @@
 
 // markPending marks a worker for processing.
 func (p *Pool) markPending(w *workerState) {
-	if !w.queued {
-		w.queued = true
+	if !w.pending {
+		w.pending = true
 		p.pendingWorkers = append(p.pendingWorkers, w.info.ID)
 	}
 }
@@ -31,7 +31,7 @@
 	p.pendingWorkers = nil
 	for _, id := range ids {
 		if w := p.workers[id]; w != nil {
-			w.queued = false
+			w.pending = false
 		}
 	}
 	return ids
@@ -92,8 +92,9 @@
 }
 
 // Retry queues an order again that got no response. One order without a response does not prove
-// that the worker is down, but nothing new is placed there until its next response. If the next
-// order gets no response either, the worker counts as unresponsive until it responds to a poll.
+// that the worker is down, but nothing new is placed there until its next response. If another
+// order gets no response before that, the worker counts as unresponsive until it responds to a
+// poll.
 func (p *Pool) Retry(o Order, now time.Time) {
 	w := o.Run.worker
 	if p.workers[w.info.ID] != w {
@@ -134,7 +135,7 @@
 			return time.Time{}, 0, false
 		}
 		return w.polledAt.Add(pollRetry), 0, true
-	case !w.contacted, w.pollWanted:
+	case !w.hasResponded, w.pollWanted:
 		return time.Time{}, 0, true
 	case len(w.runs) > 0:
 		return w.polledAt.Add(pollGap), p.pollWait(w), true
--- a/services/scheduler/overload.go
+++ b/services/scheduler/overload.go
@@ -10,15 +10,15 @@
 )
 
 // overloadBacklog is how many seconds of work for all its workers must be overdue for a pool to
-// count as overloaded. In a surge whose late jobs can all be rescued nothing is overdue. When so
-// much more arrives than the pool can do that work is overdue, rescuing jobs at the last moment
+// count as overloaded. In a surge whose late jobs can all be rescued nothing is overdue. When
+// arrivals exceed the pool's capacity so far that work is overdue, rescuing jobs at the last moment
 // delays others, and in the end all of them: under three times the load 0.02 finish in time, and
 // 0.25 if those that still can finish in time come first (TestOverloadServesSomeInTime).
 const overloadBacklog = 0.5
 
 // fullUtilization is the share of its workers' processors that an overloaded pool uses: a pool
-// whose store is slow has overdue work and free capacity for it. What counts is the use after the
-// last plan had placed its tasks, since a plan is made when something has ended.
+// whose store is slow has overdue work and free capacity for it. The use after the last plan counts
+// too: a plan is made when something has ended, so that part of the capacity is free then.
 const fullUtilization = 0.8
 
 // overloadDelay is how long that condition must hold: more instances, if there are any, arrive
@@ -91,9 +91,9 @@
 	return !now.After(j.latestStart) || j.started && !now.After(j.latestUsefulStart())
 }
 
-// ExcessWait returns by how much the expected wait of a job that arrives now exceeds what lets it
-// finish in time, 0 if it can be accepted. It is positive for an overloaded pool only: work that
-// waits in a surge is done by instances that are yet to come.
+// ExcessWait returns by how much the expected wait of a job that arrives now exceeds the longest
+// wait after which it can finish in time, 0 if it can be accepted. It is positive for an overloaded
+// pool only: work that waits in a surge is done by instances that are still to be added.
 func (p *Pool) ExcessWait(s job.Submission, now time.Time) time.Duration {
 	if !p.overloaded || p.Has(s.ID) || s.HasLongRunning() || s.RepeatCount > 0 {
 		return 0
@@ -106,8 +106,8 @@
 }
 
 // workAhead returns the core-seconds of work that come before a new job of a customer. Within its
-// share, a customer waits for its own work only, however much others have queued; if these leave
-// capacity unused, it waits for less.
+// share, a customer waits for its own work only, however much others have queued; if the others
+// leave part of their shares unused, it waits for less.
 func (p *Pool) workAhead(customer string, now time.Time) float64 {
 	work := make(map[string]float64)
 	all, weights := 0.0, 0.0
--- a/services/scheduler/poll.go
+++ b/services/scheduler/poll.go
@@ -39,7 +39,7 @@
 	}
 	previous := w.latestDeadline
 	w.extendedBy = 0
-	if w.contacted && w.unresponsiveSince.IsZero() && !w.restartSuspected && len(w.runs) > 0 && !p.Isolated {
+	if w.hasResponded && w.unresponsiveSince.IsZero() && !w.restartSuspected && len(w.runs) > 0 && !p.Isolated {
 		request.Deadline = w.extendDeadline(now, p.Limits.Lease)
 		w.extendedBy = p.eventSeq
 	}
@@ -76,7 +76,7 @@
 		return
 	case port.Unreachable:
 		if w.extendedBy == k.seq {
-			w.latestDeadline = max(k.previousDeadline, w.startDeadlineSent) // neither this poll nor a later one was sent
+			w.latestDeadline = max(k.previousDeadline, w.startDeadlineSent) // this poll was not sent, and no other one has begun since
 		}
 		p.noteUnresponsive(w, a, now)
 		return
@@ -99,15 +99,15 @@
 		return // it was sent before the worker may have restarted
 	}
 	p.confirmIncarnation(w)
-	if !w.contacted {
+	if !w.hasResponded {
 		p.noteFirstResponse(w, listing.StartedAt)
 	}
 	p.clearCrash(w.incarnation())
 	w.listedAt = now
-	w.answersUnlisted = !w.listed
+	w.respondedUnlisted = !w.listed
 	w.acknowledgedEnd = max(w.acknowledgedEnd, k.request.Acknowledged)
-	if w.hasRivals {
-		p.endRivals(w, k.sentAt, now)
+	if w.hasOtherIncarnations {
+		p.endOtherIncarnations(w, k.sentAt, now)
 	}
 	p.applyListing(w, k, listing, now)
 }
@@ -122,7 +122,7 @@
 	}
 	w.startedAt = startedAt
 	w.latestDeadline = max(w.latestDeadline, w.clock+lease)
-	w.contacted = true
+	w.hasResponded = true
 	p.resolveCrashes(w)
 	p.needsPlan = true
 }
--- a/services/scheduler/pool.go
+++ b/services/scheduler/pool.go
@@ -25,7 +25,7 @@
 // Pool is the state of one pool; it is not safe for concurrent use.
 type Pool struct {
 	Name   string
-	Token  uint64 // token of every order: the epoch of the pool's owner
+	Token  uint64 // epoch of the pool's owner, the upper part of the token of every order
 	Limits Limits
 	Logger log.Logger
 	// Isolated stops the extension of leases: the node cannot learn whether another owner has taken
@@ -49,7 +49,7 @@
 	attributed    map[worker.Incarnation][]job.TaskRef // tasks to which the crash of a worker is attributed
 	recentCrashes map[worker.Incarnation]time.Time     // time since which recently crashed workers had been unresponsive
 
-	tokenRaises     uint64              // how often a token of worker orders was raised
+	tokenRaises     uint64              // how often the token of a worker's orders was raised
 	persistedStarts map[worker.ID]int64 // incarnation of each worker with runs, as persisted or in the batch in progress
 	removedWorkers  []worker.ID         // removed since the last batch
 	toReconnect     []worker.ID         // workers that need a new connection
--- a/services/scheduler/record.go
+++ b/services/scheduler/record.go
@@ -18,7 +18,7 @@
 
 // A job has two keys: its submission, which is written once and reduced to the job's customer when
 // the job ends, and its progress, which is written with each change. Each cordoned worker has a
-// key, as have each worker with runs, for its start time (restart.go), and each job with crashes
+// key, and so has each worker with runs, for its start time (restart.go), and each job with crashes
 // attributed to its tasks. The pool's allowances have one key (allowance.go).
 const (
 	keySubmission = "s/"
@@ -275,7 +275,7 @@
 	return nil
 }
 
-// sortActive sorts the active jobs by arrival.
+// sortActive sorts the active jobs by arrival and computes their objectives.
 func (p *Pool) sortActive() {
 	sortJobs(p.active)
 	for _, j := range p.active {
--- a/services/scheduler/responses.go
+++ b/services/scheduler/responses.go
@@ -226,6 +226,6 @@
 	}
 }
 
-// longRunningRestartDelay is how long a long-running task waits after a failure: it fails occasionally
-// by itself, and each start takes a while.
+// longRunningRestartDelay is how long a long-running task waits after a failure: such tasks fail
+// occasionally by themselves, and each start takes a while.
 const longRunningRestartDelay = 100 * time.Millisecond
--- a/services/scheduler/restart.go
+++ b/services/scheduler/restart.go
@@ -65,7 +65,7 @@
 // handleRestart processes a list of runs from another incarnation than the one that responded last.
 // It returns the worker state to continue with, nil if the worker must be polled once more.
 func (p *Pool) handleRestart(w *workerState, k Poll, listing worker.PollResult, now time.Time) *workerState {
-	if w.contacted && !(w.restartSuspected && k.tokenRaises >= w.provenFromRaises) {
+	if w.hasResponded && !(w.restartSuspected && k.tokenRaises >= w.provenFromRaises) {
 		p.suspectRestart(w)
 		return nil
 	}
@@ -79,12 +79,12 @@
 	n.startedAt, n.checkedStart, n.tokenRaises, n.provenFromRaises = listing.StartedAt, w.startedAt, w.tokenRaises, w.provenFromRaises
 	p.Logger.Info().Str("event", "worker").Str("worker", string(w.info.ID)).Int64("born", listing.StartedAt).Int64("born_before", w.startedAt).
 		Int("runs_before", len(w.runs)).Int("runs", len(listing.Runs)).Int("ends", len(listing.Ends)).Int("sequence_before", w.lastEnd).
-		Bool("met", w.contacted).Uint64("token", p.token(n)).Msg("worker restarted")
+		Bool("met", w.hasResponded).Uint64("token", p.token(n)).Msg("worker restarted")
 	p.increment(workerRestarted)
 	p.adoptRuns(w, n, listing, now)
 	p.endIncarnation(w, now, exitConfirmed, "it has restarted")
 	p.workers[n.info.ID] = n
-	p.pollRivals(n)
+	p.pollIncarnations(n)
 	p.markReconnect(n)
 	return n
 }
@@ -133,13 +133,13 @@
 // checkStart checks the start time in an entry of a worker, and reports whether the entry describes
 // the known incarnation.
 func (p *Pool) checkStart(w *workerState, info worker.Worker) bool {
-	if !w.contacted || w.startedAt == 0 || info.StartedAt == w.startedAt {
+	if !w.hasResponded || w.startedAt == 0 || info.StartedAt == w.startedAt {
 		return true
 	}
 	if info.StartedAt == 0 {
 		return false
 	}
-	w.otherEntry, w.listed, w.answersUnlisted = &info, true, false
+	w.otherEntry, w.listed, w.respondedUnlisted = &info, true, false
 	if info.StartedAt != w.checkedStart {
 		p.useAddress(w, true)
 		p.Logger.Info().Str("event", "worker").Str("worker", string(info.ID)).Int64("born", info.StartedAt).Int64("born_before", w.startedAt).
--- a/services/scheduler/restart_test.go
+++ b/services/scheduler/restart_test.go
@@ -66,9 +66,9 @@
 	return d
 }
 
-// TestDoneAfterARestartIsNotStartedAgain guards against TWICE: the numbers of ends start anew with
-// each incarnation of a worker, and an end counts even if an end with its number was seen before
-// the restart.
+// TestDoneAfterARestartIsNotStartedAgain guards against a task that starts again after it is done
+// (violation TWICE): the numbers of ends start anew with each incarnation of a worker, and an end
+// counts even if an end with its number was seen before the restart.
 func TestDoneAfterARestartIsNotStartedAgain(t *testing.T) {
 	for name, startedAt := range map[string]int64{"later": 2000, "its time of day was set back": 500} {
 		t.Run(name, func(t *testing.T) {
@@ -86,8 +86,9 @@
 	}
 }
 
-// TestFailureAfterARestartUsesAnAttempt guards against BUDGET: a run that fails at the next
-// incarnation of a worker uses up an attempt, whatever the number of its end.
+// TestFailureAfterARestartUsesAnAttempt guards against a task that is started after it has used up
+// its attempts (violation BUDGET): a run that fails at the next incarnation of a worker counts,
+// whatever the number of its end.
 func TestFailureAfterARestartUsesAnAttempt(t *testing.T) {
 	d := newTestPool(t, 1)
 	d.registerStart(1000)
@@ -348,8 +349,10 @@
 	assert.Equal(t, d.persistedState("1"), job.Failed)
 }
 
-// TestStartRefusedByTheNextIncarnationIsNoCrash guards against LOST: a start order reaches a worker
-// that has restarted and been polled since, so the run never started.
+// TestStartRefusedByTheNextIncarnationIsNoCrash guards against a job that is reported as failed
+// although it could be completed (violation LOST): a start order reaches a worker that has
+// restarted and been polled since, so the run never started, and no crash is attributed to its
+// task.
 func TestStartRefusedByTheNextIncarnationIsNoCrash(t *testing.T) {
 	d := newTestPool(t, 1)
 	d.registerStart(1000)
--- a/services/scheduler/worker.go
+++ b/services/scheduler/worker.go
@@ -26,21 +26,21 @@
 	suspectRuns int     // number of runs whose tasks have crashes attributed to them
 	orders      []Order // queued orders, oldest first
 
-	contacted       bool          // it has responded, so its clock is known and lower tokens are refused
-	listed          bool          // it is in the platform's list
-	answersUnlisted bool          // it has responded after it left the list: a planned exit
-	clock           time.Duration // the worker's clock in its last response
-	clockAt         time.Time     // when that response came
-	lastContact     time.Time     // time of the last response from this incarnation
-	hasRivals       bool          // other incarnations of its instance are known
-	latestDeadline  time.Duration // latest deadline sent, on the worker's clock
+	hasResponded         bool          // it has responded, so its clock is known and lower tokens are refused
+	listed               bool          // it is in the platform's list
+	respondedUnlisted    bool          // it has responded after it left the list: a planned exit
+	clock                time.Duration // the worker's clock in its last response
+	clockAt              time.Time     // when that response came
+	lastContact          time.Time     // time of the last response from this incarnation
+	hasOtherIncarnations bool          // other incarnations of its instance are known
+	latestDeadline       time.Duration // latest deadline sent, on the worker's clock
 
 	startDeadlineSent time.Duration // latest deadline sent with an order
 	extendedBy        uint64        // sequence of the poll that extended the deadline last, 0 for none
 	unresponsiveSince time.Time     // since when it has not responded, zero while it does
 	orderUnanswered   bool          // no response since an order timed out
 	restoredRunsEndAt time.Time     // when all runs of an earlier owner have ended, unless it has responded
-	queued            bool          // it is among the pending workers
+	pending           bool          // it is among the pending workers
 	cordoned          bool          // nothing is placed there, and movable runs are evacuated
 	cordonBatch       uint64        // batch that carries the newest cordon change
 	maintenanceSince  time.Time     // since when its instance needs maintenance, zero if it does not
@@ -99,7 +99,7 @@
 // leasesExpireAt returns when all runs on the worker have been ended by their leases, unless these
 // are extended.
 func (w *workerState) leasesExpireAt() time.Time {
-	if !w.contacted {
+	if !w.hasResponded {
 		return w.restoredRunsEndAt
 	}
 	remaining := float64(w.latestDeadline-w.clock) / (1 - maxClockDrift)
@@ -115,7 +115,7 @@
 
 // schedulable reports whether tasks may be placed on the worker.
 func (w *workerState) schedulable(now time.Time) bool {
-	return w.contacted && w.listed && w.unresponsiveSince.IsZero() && !w.orderUnanswered && !w.restartSuspected && !w.evacuating() && !w.ejected(now)
+	return w.hasResponded && w.listed && w.unresponsiveSince.IsZero() && !w.orderUnanswered && !w.restartSuspected && !w.evacuating() && !w.ejected(now)
 }
 
 // evacuating reports whether the runs on the worker have to move elsewhere.
@@ -149,7 +149,7 @@
 		w = p.addWorker(info)
 		p.Logger.Info().Str("event", "worker").Str("worker", string(info.ID)).Str("instance", info.Instance).
 			Str("address", info.Address).Strs("labels", info.Labels).Int64("born", info.StartedAt).Uint64("revision", info.Revision).Msg("worker added")
-		p.pollRivals(w)
+		p.pollIncarnations(w)
 		w.listed = true
 		return true
 	}
@@ -170,7 +170,7 @@
 		p.needsPlan = true
 	}
 	w.info = info
-	w.listed, w.answersUnlisted = true, false
+	w.listed, w.respondedUnlisted = true, false
 	return false
 }
 
@@ -195,24 +195,25 @@
 	}
 }
 
-// pollRivals polls all incarnations of one instance, of which at most one is alive. The list does
-// not show which: an earlier incarnation's entry may be listed late.
-func (p *Pool) pollRivals(w *workerState) {
+// pollIncarnations polls all incarnations of a worker's instance if it has several, of which at
+// most one is alive. The list does not show which: an earlier incarnation's entry may be listed
+// late.
+func (p *Pool) pollIncarnations(w *workerState) {
 	if w.info.Instance == "" {
 		return
 	}
 	for _, o := range p.workers {
 		if o != w && o.info.Instance == w.info.Instance {
-			w.hasRivals, o.hasRivals = true, true
+			w.hasOtherIncarnations, o.hasOtherIncarnations = true, true
 			w.pollWanted, o.pollWanted = true, true
 		}
 	}
 }
 
-// endRivals ends the other incarnations of a worker's instance that have not responded since the
-// poll was sent to which this worker responded.
-func (p *Pool) endRivals(w *workerState, sent, now time.Time) {
-	w.hasRivals = false
+// endOtherIncarnations ends the other incarnations of a worker's instance that have not responded
+// since the poll was sent to which this worker responded.
+func (p *Pool) endOtherIncarnations(w *workerState, sent, now time.Time) {
+	w.hasOtherIncarnations = false
 	for _, o := range p.workers {
 		if o == w || o.info.Instance != w.info.Instance {
 			continue
@@ -220,7 +221,7 @@
 		if o.lastContact.Before(sent) {
 			p.endIncarnation(o, now, exitConfirmed, "its instance has a new incarnation")
 		} else {
-			w.hasRivals = true
+			w.hasOtherIncarnations = true
 		}
 	}
 }
@@ -286,7 +287,8 @@
 	}
 }
 
-// loseRun ends a run that does not end by itself; its task waits again.
+// loseRun declares a run lost, which ends without its worker reporting an end; its task waits
+// again.
 func (p *Pool) loseRun(u *run, now time.Time, reason string) {
 	p.Logger.Info().Str("event", "lost").Str("task", u.name).Int("run", u.number).Str("worker", string(u.worker.info.ID)).
 		Dur("age", u.age(now)).Str("why", reason).Msg("run lost")
