--- a/services/scheduler/job.go
+++ b/services/scheduler/job.go
@@ -212,7 +212,7 @@
 	p.dirty = slices.DeleteFunc(p.dirty, func(o *jobState) bool { return o == j })
 	p.active = slices.DeleteFunc(p.active, func(o *jobState) bool { return o == j })
 	delete(p.jobs, id)
-	p.Logger.Info().Str("event", "submit").Str("job", string(id)).Str("outcome", "withdrawn").Msg("job that was not persisted withdrawn")
+	p.Logger.Info().Str("event", "submit").Str("job", string(id)).Str("outcome", "withdrawn").Msg("job withdrawn before it was persisted")
 	return true
 }
 
