--- a/services/fleet/counts.go
+++ b/services/fleet/counts.go
@@ -166,8 +166,8 @@
 	return v.counts.racks[poolRack{pool, rack(i)}]
 }
 
-// swaps returns how many instances a pool gets beyond its need: one while one of its own has
-// pending wave maintenance, which can then be removed.
+// swaps returns how many instances a pool gets beyond its need: one while an instance of its own
+// has pending wave maintenance, so that this instance can leave the pool for it.
 func (v *view) swaps(pool string) int { return btoi(v.counts.swaps[pool]) }
 
 // due reports whether an instance has pending wave maintenance.
--- a/services/fleet/need.go
+++ b/services/fleet/need.go
@@ -32,7 +32,7 @@
 	minSpare     = 1.0                     // spare instances of a pool whose jobs can wait
 	urgentSlack  = 1500 * time.Millisecond // slack of jobs that can't wait: an instance takes longer to arrive
 	patientSlack = 3 * time.Second         // slack of jobs that can wait
-	keepFrom     = 1                       // instances that a pool keeps beyond its need when others take from it
+	keepFrom     = 1                       // instances that a pool keeps beyond its need when others get instances from it
 	keepLevel    = 3 * time.Second         // after a peak; a move there and back takes as long
 )
 
--- a/services/fleet/order.go
+++ b/services/fleet/order.go
@@ -119,8 +119,8 @@
 // own.
 const intentTimes = 3
 
-// intent returns the record of an order that is sent within intentAge after the given time ahead of
-// now.
+// intent returns the record of an order. Its time limits start at the given time ahead of now,
+// which the append of the record may take, and the order is sent within intentAge after that.
 func (m *Manager) intent(a *action, known bool, ahead time.Duration) (port.Record, error) {
 	value, err := codec.Marshal(intent{
 		Instance: a.instance, Worker: a.worker, To: a.to, Wave: a.wave, At: m.Clock.WallTime(m.Clock.Now().Add(ahead)).UnixMilli(), OutcomeKnown: known, From: a.from, StartedAt: a.startedAt,
@@ -130,15 +130,15 @@
 
 // sendOrder sends one order.
 func (m *Manager) sendOrder(ctx context.Context, a *action) {
-	permit := port.Issuer{Holder: m.Node, Token: m.Epoch()}
+	issuer := port.Issuer{Holder: m.Node, Token: m.Epoch()}
 	var err error
 	if a.to != "" {
-		err = m.Instances.Move(ctx, permit, a.instance, a.to)
+		err = m.Instances.Move(ctx, issuer, a.instance, a.to)
 	} else {
-		err = m.Instances.Maintain(ctx, permit, a.instance, a.wave)
+		err = m.Instances.Maintain(ctx, issuer, a.instance, a.wave)
 	}
 	m.Logger.Info().Str("event", "order").Str("instance", a.instance).Str("worker", string(a.worker)).Str("from", a.from).
-		Str("to", a.to).Int("wave", a.wave).Uint64("token", permit.Token).AnErr("err", err).
+		Str("to", a.to).Int("wave", a.wave).Uint64("token", issuer.Token).AnErr("err", err).
 		Dur("after", m.Clock.Now().Sub(a.began)).Msg("response to an order to an instance received")
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -163,7 +163,8 @@
 	}
 }
 
-// persistDone persists which orders are done, and which instances of waves.
+// persistDone persists which orders have a known outcome, and which instances of waves have begun
+// their maintenance.
 func (m *Manager) persistDone(ctx context.Context, due []*action) error {
 	var records []port.Record
 	for _, a := range due {
--- a/services/fleet/surge.go
+++ b/services/fleet/surge.go
@@ -11,18 +11,19 @@
 // A surge shows its demand only while it grows, over about three seconds, and each instance arrives
 // two seconds after it is requested. Recurring demand reaches a similar peak each time. So once a
 // rise is confirmed, a pool gets at once as many instances as its last surge needed. A pool without
-// an earlier surge gets its previous need multiplied by the growth of the other pools' surges.
+// an earlier surge gets its average load multiplied by the smallest growth of the other pools'
+// surges, up to the smallest of their peaks.
 
 const (
-	// expectFor is how long the expected need counts after a rise is confirmed. Without the demand
-	// by then the rise was no such surge.
+	// expectFor is how long the expected need counts after a rise is confirmed. If the demand has
+	// not arrived by then, the rise was no such surge.
 	expectFor = 3 * time.Second
 	// baselineSpan is the time constant for averaging the load between surges.
 	baselineSpan = 6 * time.Second
 	// endPart is the fraction of its highest need below which a surge is finished.
 	endPart = 0.4
-	// surgeTimes is the minimum ratio of a pool's highest need to its previous need that counts as
-	// a surge.
+	// surgeTimes is the minimum ratio of a pool's highest need to its baseline for a rise to count
+	// as a surge.
 	surgeTimes = 2.0
 )
 
@@ -31,13 +32,13 @@
 	baseline  float64   // average load between surges
 	peak      float64   // highest need of the current surge, 0 for none
 	last      float64   // highest need of the last surge, 0 before the first
-	growth    float64   // last divided by the need before it
+	growth    float64   // last divided by the baseline before it
 	began     time.Time // when the current rise was confirmed, zero for none
 	updatedAt time.Time // time of the last update
 }
 
-// follow updates the surge with a pool's need, its arrival rate in instances and whether its need
-// rises for certain.
+// follow updates the surge with a pool's need, the load of the arriving jobs in instances, and
+// whether a rise of the need is confirmed.
 func (r *surge) follow(need, arrivals float64, rising bool, now time.Time) {
 	step := now.Sub(r.updatedAt).Seconds()
 	if r.updatedAt.IsZero() {
