--- a/services/lending/lender.go
+++ b/services/lending/lender.go
@@ -57,7 +57,7 @@
 	reported    bool                 // the pool has reported its allowances to this holder
 	confirmed   bool                 // the pool has the newest allowances
 	lastContact time.Time            // time of the last report, or when the pool was added
-	idle        map[string]time.Time // when the pool last used much of what it was lent, by customer
+	idleSince   map[string]time.Time // since when the pool has not used much of what it was lent, by customer
 	report      quota.Report         // the newest report
 }
 
@@ -166,8 +166,9 @@
 }
 
 // follows reports whether a pool has reported that it uses a version of the configuration. A pool
-// with another version is lent nothing: it may never learn of this version's limit, and if the next
-// limit is lower than that, the pool holds back only what was lent under limits that it has known.
+// with another version is lent nothing, because it may never learn of this version's limit. If the
+// next version lowers that limit, such a pool sees no reduction: it would not pause the customer
+// and would keep using what it was lent.
 func (b *poolState) follows(version uint64) bool {
 	return b.reported && b.report.ConfigVersion == version
 }
--- a/services/lending/lender_test.go
+++ b/services/lending/lender_test.go
@@ -216,12 +216,13 @@
 
 // failedHistories are seeds of histories, out of 20,000, that have failed. A limit was raised and
 // lowered again within a step or two, and the pools that went directly from the first to the third
-// version did not hold back what the holder had lent them under the second.
+// version did not pause the customers and went on using what the holder had lent them under the
+// second.
 var failedHistories = []uint64{5940, 8437, 8563, 11166, 12226, 15157, 19514}
 
-// TestLimitHoldsInHistories guards against use above a limit: it plays histories in which messages
-// are lost, holders and owners are replaced, limits change and all pools want more than is
-// available. The sum of what all pools use never grows above the limit.
+// TestLimitHoldsInHistories guards against use above a limit: it simulates random histories in
+// which messages are lost, holders and owners are replaced, limits change and all pools want more
+// than is available. The sum of what all pools use never grows above the limit.
 func TestLimitHoldsInHistories(t *testing.T) {
 	const histories, steps, customers, pools, limit = 300, 80, 3, 4, 1000
 	seeds := slices.Clone(failedHistories)
@@ -253,10 +254,10 @@
 
 // TestLimitUnknownToSomePools guards against use above a limit that was raised and lowered again
 // while only the holder had read the version between. It was seen once in CI, alone on the machine,
-// as a history that used 1,129 of 1,111; on that code, 4 of 40 plays of 300 histories failed the
+// as a history that used 1,129 of 1,111; on that code, 4 of 40 runs of 300 histories failed the
 // same way. A trace of history 19514 (limits 305, 1,081, 613) shows the cause: the holder had lent
 // all of 1,081 to four pools, none of which had known that limit. For them 613 was not a lower
-// limit, so none held back, and the use stayed at 1,081.
+// limit, so none paused the customer, and the use stayed at 1,081.
 func TestLimitUnknownToSomePools(t *testing.T) {
 	const first, between, last, pools = 305, 1081, 613, 4
 	s := newSim(pools, 1, first)
@@ -337,8 +338,8 @@
 
 // BenchmarkSurges runs surges in one pool after another for the customers that use most (a tenth of
 // all, at least two), each of which then wants twice its limit. It reports the calls, bytes and
-// appends per second beside the reports, and after how many steps a surge has two thirds of the
-// limit.
+// appends per second in addition to those of the pools' reports, and after how many steps a surge
+// has two thirds of the limit.
 func BenchmarkSurges(b *testing.B) {
 	for _, size := range [][2]int{{4, 20}, {20, 20}, {124, 20}, {4, 1000}, {20, 1000}, {124, 1000}} {
 		b.Run(fmt.Sprintf("%d pools/%d customers", size[0], size[1]), func(b *testing.B) {
@@ -349,7 +350,7 @@
 	}
 }
 
-// surges plays 16 s, in which four pools have a surge of four seconds each.
+// surges simulates 16 s, in which four pools have a surge of four seconds each.
 func surges(b *testing.B, pools, customers int) {
 	const limit, period, steps = 1_000_000, 33, 4 * 33
 	s := newSim(pools, customers, limit)
@@ -388,10 +389,10 @@
 }
 
 // TestSmallDemandBesideASurgeIsServed guards against starvation of small demand: one pool uses all
-// of a limit and wants twenty times the limit. Another pool that comes to want a two-hundredth of
-// it gets that within 3 s, also repeatedly. In an overloaded run, customers with limits of 1,100
-// cores and more had an allowance of 0 in another pool for up to 19 s, and a job that needed six
-// cores did not start.
+// of a limit and wants twenty times the limit. Another pool that begins to want a two-hundredth of
+// it gets that within 3 s, also repeatedly. In a run with an overloaded pool, customers with limits
+// of 1,100 cores and more had an allowance of 0 in another pool for up to 19 s, and a job that
+// needed six cores did not start.
 func TestSmallDemandBesideASurgeIsServed(t *testing.T) {
 	const limit, small, within = 1_000_000, 5000, 25
 	s := newSim(20, 20, limit) // so that the reserve of a pool is not enough
--- a/services/lending/plan.go
+++ b/services/lending/plan.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// pin keeps a pool's allowances for those customers of whose limits the additional part is not
-// free, while its part of all limits rises.
+// pin keeps a pool's bound and allowance unchanged, while its part of all limits rises, for the
+// customers of whose limit the additional part is not free.
 func (p *plan) pin(b *poolState, more float64) {
 	for i := range p.config.Customers {
 		c := &p.config.Customers[i]
@@ -208,11 +208,11 @@
 		}
 		for _, customer := range slices.Sorted(maps.Keys(b.sent.ByCustomer)) {
 			limit := p.limit(customer)
-			if _, reported := b.account(customer); reported || b.idle[customer].IsZero() {
+			if _, reported := b.account(customer); reported || b.idleSince[customer].IsZero() {
 				b.markUsed(customer, p.now)
 				continue
 			}
-			if !quota.HasLimit(limit) || p.now.Sub(b.idle[customer]) < reclaimAfter {
+			if !quota.HasLimit(limit) || p.now.Sub(b.idleSince[customer]) < reclaimAfter {
 				continue
 			}
 			b.markUsed(customer, p.now)
@@ -237,13 +237,13 @@
 	reclaimPart  = 0.5
 )
 
-// markUsed records that a pool has used much of a customer's allowance, or has returned a part of
-// it.
+// markUsed restarts the period after which unused capacity is reclaimed: the pool has used much of
+// a customer's allowance, or has just returned a part of it.
 func (b *poolState) markUsed(customer string, now time.Time) {
-	if b.idle == nil {
-		b.idle = make(map[string]time.Time)
+	if b.idleSince == nil {
+		b.idleSince = make(map[string]time.Time)
 	}
-	b.idle[customer] = now
+	b.idleSince[customer] = now
 }
 
 // changes numbers the changed allowances and returns the records of the changed bounds.
