--- a/services/ownership/hand_over.go
+++ b/services/ownership/hand_over.go
@@ -18,8 +18,8 @@
 // 60 times as long when it is slow.
 const stuckAfter = 700 * time.Millisecond
 
-// handOverStuck hands over the roles whose appends get no response from the store, each once and all
-// at the same time: their owner rejects what it can't persist.
+// handOverStuck hands over the roles whose appends get no response from the store, each once and
+// all at the same time: their owner rejects what it can't persist.
 func (s *Manager) handOverStuck(ctx context.Context, v *directory.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,8 +103,8 @@
 
 // handOver asks the nodes that the store serves, the best first, to take a pool over, and reports
 // whether one has. If none of the nodes probed together gets a response, the store is down for all
-// of them, and whichever node is probed when it recovers would get the pool. So the best nodes are
-// probed again as long as the store does not respond.
+// of them, and whichever node is probed when it recovers would get the pool. So no other nodes are
+// probed, and the next check probes the best ones again as long as the store does not respond.
 func (s *Manager) handOver(ctx context.Context, v *directory.View, pool string, successors []string) bool {
 	for len(successors) > 0 {
 		n := min(len(successors), probesAtOnce)
--- a/services/ownership/improve.go
+++ b/services/ownership/improve.go
@@ -17,7 +17,7 @@
 // Conditions for moving a role to a better node.
 const (
 	// muchBetter is how many times the capacity per role another node must have. A take-over stops
-	// a pool for about 0.2 s, and nodes that differ less handle the same surge.
+	// a pool for about 0.2 s, and nodes whose capacity differs less can handle the same surge.
 	muchBetter = 3
 	// provenAfter is how long the other node must have been present and this node must have owned
 	// the role: a node that is being restarted is about to exit.
--- a/services/ownership/manager.go
+++ b/services/ownership/manager.go
@@ -144,15 +144,15 @@
 		s.unowned = make(map[string]time.Time)
 	}
 	var list []string
-	for _, d := range s.Roles(c) {
-		n, _, present := v.Owner(d)
-		if present && (n.Name != s.Directory.Self.Name || s.owned[d] != nil || s.claiming[d]) {
-			delete(s.unowned, d)
+	for _, role := range s.Roles(c) {
+		n, _, present := v.Owner(role)
+		if present && (n.Name != s.Directory.Self.Name || s.owned[role] != nil || s.claiming[role]) {
+			delete(s.unowned, role)
 			continue
 		}
-		list = append(list, d)
-		if s.unowned[d].IsZero() {
-			s.unowned[d] = s.Clock.Now()
+		list = append(list, role)
+		if s.unowned[role].IsZero() {
+			s.unowned[role] = s.Clock.Now()
 		}
 	}
 	slices.Sort(list)
