--- a/services/rollout/rollout.go
+++ b/services/rollout/rollout.go
@@ -27,8 +27,8 @@
 	Clock clock.Clock
 	Name  string // of this entry
 	State func() state.State
-	// Propose puts a record on the log and returns its verdict. It calls sent before the append
-	// with the batch that contains the record; sent must not block.
+	// Propose puts a record on the log and returns its verdict. Before the append it calls sent with
+	// the position of the batch that contains the record; sent must not block.
 	Propose func(ctx context.Context, r record.Record, sent func(state.Position)) error
 	// Reached waits for a limited time until an entry has folded the log up to a position, and
 	// returns whether it has.
