--- a/services/ledger/ledger.go
+++ b/services/ledger/ledger.go
@@ -84,7 +84,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return errkind.New(errkind.LogUnavailable, "%+v is not reached; the state is at offset %d", m, s.Offset)
+			return errkind.New(errkind.LogUnavailable, "log position %+v was not reached in time; the state is at offset %d", m, s.Offset)
 		}
 	}
 }
--- a/services/ledger/writer.go
+++ b/services/ledger/writer.go
@@ -37,8 +37,8 @@
 	// OnLateVerdicts is called if Propose has given up and the outcome becomes known afterwards; it
 	// may be nil.
 	OnLateVerdicts func([]state.Verdict)
-	// OnSend is called before the append with the batch that contains the records; it may be nil
-	// and must not block.
+	// OnSend is called before the append with the position of the batch that contains the records;
+	// it may be nil and must not block.
 	OnSend func(m state.Position)
 }
 
@@ -76,7 +76,8 @@
 	w.endFlight()
 }
 
-// skipTo gives up on the verdicts of a batch that was folded before this process read it.
+// skipTo gives up on the verdicts of the batch in flight if the state contains it but this process
+// has not folded it: the state came from a snapshot or a peer.
 func (w *writer) skipTo(sequence uint64) {
 	if w.settled == nil || sequence < w.sequence {
 		return
@@ -121,7 +122,7 @@
 		}
 	}
 	if q.lost {
-		return nil, errkind.New(errkind.OutcomeUnknown, "the state has passed the batch before its verdict was read")
+		return nil, errkind.New(errkind.OutcomeUnknown, "the batch is in a state that was loaded from a snapshot or a peer; its verdicts are not known")
 	}
 	return q.verdicts, nil
 }
@@ -131,8 +132,8 @@
 	return l.ProposeNotify(ctx, r, nil)
 }
 
-// ProposeNotify is ProposeOne with a callback: it calls sent before the append with the batch that
-// contains the record; sent may be nil and must not block.
+// ProposeNotify is ProposeOne with a callback: before the append it calls sent with the position of
+// the batch that contains the record; sent may be nil and must not block.
 func (l *Ledger) ProposeNotify(ctx context.Context, r record.Record, sent func(state.Position)) error {
 	verdicts, err := l.Propose(ctx, Proposal{Records: []record.Record{r}, OnSend: sent})
 	if err != nil {
@@ -233,7 +234,7 @@
 	return b, w.settled
 }
 
-// notifySent reports the batch that contains the proposals in flight.
+// notifySent calls OnSend of the proposals in flight with the position of their batch.
 func (l *Ledger) notifySent(b record.Batch) {
 	l.mu.Lock()
 	flight := l.writer.flight
