--- a/models/config/customer_test.go
+++ b/models/config/customer_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// many returns a configuration with customers of four keys each.
+// configWith returns a configuration with a number of customers of four keys each.
 func configWith(customers int) *Config {
 	list := make([]Customer, customers)
 	for i := range list {
@@ -27,7 +27,8 @@
 
 func keyOf(customer, key int) string { return fmt.Sprintf("%020d-%d", customer, key) }
 
-// TestHolder checks that customers are found by each of their keys, and none by another text.
+// TestCustomerByKey checks that customers are found by each of their keys, and none by another
+// text.
 func TestCustomerByKey(t *testing.T) {
 	c := configWith(20)
 	for i := range 20 {
@@ -55,13 +56,14 @@
 	assert.Equal(t, again.CustomerByKey(keyOf(1, 1)).Name, "customer-1")
 }
 
-// TestKeyTakesNoMemory checks that the lookup of a key does not allocate.
+// TestKeyLookupDoesNotAllocate guards against an allocation in each call: looking up its key needs
+// none.
 func TestKeyLookupDoesNotAllocate(t *testing.T) {
 	c, key := configWith(1000), keyOf(7, 3)
 	assert.Equal(t, testing.AllocsPerRun(100, func() { c.CustomerByKey(key) }), 0.0)
 }
 
-// BenchmarkHolder looks up one key among 1,000 customers with four keys each.
+// BenchmarkCustomerByKey looks up one key among 1,000 customers with four keys each.
 func BenchmarkCustomerByKey(b *testing.B) {
 	c, key := configWith(1000), keyOf(7, 3)
 	b.ReportAllocs()
--- a/models/record/record.go
+++ b/models/record/record.go
@@ -50,7 +50,7 @@
 	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
-// Role is a task that one entry at a time carries out, to avoid duplicate work.
+// Role is a responsibility that one entry at a time has, to avoid duplicate work.
 type Role string
 
 // The roles that are leased.
--- a/models/state/index.go
+++ b/models/state/index.go
@@ -16,7 +16,7 @@
 	ownedAll      table.Table[int]       // instances by entry
 	gone          table.Table[struct{}]  // workers that the platform no longer lists
 	outOfService  table.Table[struct{}]  // workers that are not in service
-	poolChangedAt table.Table[uint64]    // offset of the newest change of a pool's instances or runs
+	poolChangedAt table.Table[uint64]    // offset after the newest change of a pool's instances or runs
 	runs          runIndex
 }
 
@@ -36,7 +36,7 @@
 	return s
 }
 
-// TopologyChangedAt returns the offset of the newest change of instances, owners of slots or
+// TopologyChangedAt returns the offset after the newest change of instances, owners of slots or
 // membership, so that data derived from them needs to be updated only when it grows.
 func (s State) TopologyChangedAt() uint64 { return s.topology }
 
--- a/models/state/index_run.go
+++ b/models/state/index_run.go
@@ -21,8 +21,8 @@
 	placed        table.Groups[struct{}] // not known to be running yet, by the entry that starts them
 	onWorker      table.Groups[struct{}] // by worker
 	usageOn       table.Table[Usage]     // by worker
-	usageOf       table.Table[Usage]     // by team
-	teamChangedAt table.Table[uint64]    // offset of the newest change of a team's usage
+	usageOf       table.Table[Usage]     // by team or customer
+	teamChangedAt table.Table[uint64]    // offset after the newest change of a team's or customer's usage
 	usedCores     table.Groups[int]      // by job, number of runs by the cores that they used
 	endedRuns     table.Table[string]    // ended runs by the time at which they are dropped
 }
@@ -89,7 +89,7 @@
 	return x
 }
 
-// countUsed counts, for each job, the kept runs by the number of cores that they used.
+// countUsedCores counts, for each job, the kept runs by the number of cores that they used.
 func (x runIndex) countUsedCores(r Run, by int) runIndex {
 	if r.UsedCores == 0 {
 		return x
@@ -107,7 +107,8 @@
 // coresKey returns a text that sorts like the number.
 func coresKey(cores int) string { return fmt.Sprintf("%09d", cores) }
 
-// MaxUsedCores returns the maximum of cores that any kept run of a job has used, 0 if not known.
+// MaxUsedCores returns the maximum number of cores that any kept run of a job has used, 0 if not
+// known.
 func (s State) MaxUsedCores(job string) int {
 	most := 0
 	for key := range s.index.runs.usedCores.Of(job).All() {
--- a/models/state/state.go
+++ b/models/state/state.go
@@ -21,7 +21,7 @@
 	Entries         table.Table[Entry]    // the membership, by entry name
 	Leases          table.Table[Lease]    // by role
 	Instances       table.Table[Instance] // by worker
-	OwnersChangedAt uint64                // offset of the newest change of the owner of slots
+	OwnersChangedAt uint64                // offset after the newest change of the owner of slots
 	ListRevision    uint64                // newest instance list that was folded
 	Claims          table.Table[Claim]    // by key
 	Runs            table.Table[Run]      // by job run
@@ -31,7 +31,7 @@
 	SnapshotOffset  uint64                // offset of that snapshot
 
 	index    index  // derived from the tables above
-	topology uint64 // offset of the newest change of instances, owners or membership
+	topology uint64 // offset after the newest change of instances, owners or membership
 }
 
 // Entry is one process of the membership.
@@ -40,7 +40,7 @@
 	Sequence    uint64 // of its newest batch
 	Address     string
 	DataCenter  string `cbor:"Hall" json:"Hall"`
-	JoinedAt    uint64 // offset
+	JoinedAt    uint64 // offset after its Join record
 	Present     bool   // false once it has left or is gone
 	Listed      bool   // it has been in the platform's list
 	LeftAt      time.Time
@@ -73,13 +73,13 @@
 	PhaseAt             time.Time      // when the phase began, zero before its first change
 	Purpose             record.Purpose // of the drain, empty while in service
 	MoveTo              string         `cbor:"To"` // destination pool of a move, empty otherwise
-	Version             uint64         // offset of the last change
+	Version             uint64         // offset after the last change
 	MaintainedAt        time.Time      // last observed reboot
 	BootCountAtReboot   int            `cbor:"DrainBoot"` // boot count before the current reboot
 	Rebooter            string         // the only entry that may request the reboot
 	RebooterIncarnation uint64         `cbor:"RebooterInc"` // incarnation of the rebooter
 	Owner               string         // entry that owns the slots, empty for none
-	Epoch               uint64         // offset at which the owner began, 0 for never
+	Epoch               uint64         // offset after the change to this owner, 0 for never
 	FirstOwner          bool           `cbor:"First"`      // the owner is the first one since the worker came into service
 	EjectedUntil        time.Time      `cbor:"AsideUntil"` // no new jobs until then
 	GoneAt              time.Time      // when the worker disappeared from the platform's list, zero while listed
@@ -103,7 +103,7 @@
 // Run is one submitted run of a job.
 type Run struct {
 	Job             manifest.Job
-	SubmittedOffset uint64 `cbor:"Submitted"` // offset
+	SubmittedOffset uint64 `cbor:"Submitted"` // offset after its submission
 	SubmittedAt     time.Time
 	Deadline        time.Time // zero for none
 	State           record.RunState
