--- a/node/catch_up.go
+++ b/node/catch_up.go
@@ -64,8 +64,8 @@
 	return a.Incarnation, nil
 }
 
-// isolated reports whether there are other nodes and none has responded to a probe for a while. Two
-// are probed every 250 ms.
+// isolated reports whether there are other nodes and none has responded to a probe within
+// isolatedAfter. Two are probed every 250 ms.
 func (n *Node) isolated() bool {
 	v, _ := n.Directory.View()
 	return v != nil && len(v.Nodes) > 1 && n.Clock.Now().Sub(time.Unix(0, n.lastProbeResponse.Load())) > isolatedAfter
@@ -87,9 +87,9 @@
 	return v != nil && a.End > v.End && n.Directory.Age() > staleAfter
 }
 
-// refreshAfter is how old this node's own reading of the directory must be for it to ask a node
-// that has handed a pool over for the new owner: a change of the directory is read within some
-// milliseconds.
+// refreshAfter is how old this node's own reading of the directory must be before it requests the
+// directory from the previous owner of a pool: if the store responds, a change of the directory is
+// read within some milliseconds.
 const refreshAfter = 100 * time.Millisecond
 
 // refreshFrom fetches the directory from a node that no longer owns a pool, in case the store does
--- a/node/limits.go
+++ b/node/limits.go
@@ -5,13 +5,13 @@
 
 import "time"
 
-// lease is how long what runs on a worker outlives the last message of its owner: long enough for
-// another node to take the pool over, and short enough for the runs of a lost worker to begin
-// elsewhere.
+// lease is how long the runs on a worker continue after the last message of the pool's owner: long
+// enough for another node to take the pool over, and short enough for the tasks of a lost worker to
+// begin again elsewhere.
 const lease = 4 * time.Second
 
-// The intervals between readings of the store.
+// The timing of reads of the store.
 const (
-	operatorsWait = 700 * time.Millisecond // how long a reading waits for new records; see the directory's
-	workersGap    = 250 * time.Millisecond // workers write every 1.5 s; what they write is read together
+	operatorsWait = 700 * time.Millisecond // how long a read waits for new records; see followWait in services/directory
+	workersGap    = 250 * time.Millisecond // pause between reads; workers write every 1.5 s, and the records of one pause are read together
 )
--- a/node/node.go
+++ b/node/node.go
@@ -158,9 +158,10 @@
 	return port.Partition{Topic: fmt.Sprintf("keyed.spares%d", slot/parts), Index: (slot + parts/2) % parts}
 }
 
-// standbyProbeShare is how much of each second one role has for probing its standby partition: all
-// together make at most 100 calls a second, of some 1,000 that the store allows.
-const standbyProbeShare = 10 * time.Millisecond
+// standbyProbePeriodPerRole is how much each role adds to the period at which every role probes its
+// standby partition: all roles together make at most 100 calls a second, of some 1,000 that the
+// store allows.
+const standbyProbePeriodPerRole = 10 * time.Millisecond
 
 // standbyProbePeriod returns how often a role probes its standby partition.
 func (n *Node) standbyProbePeriod() time.Duration {
@@ -168,7 +169,7 @@
 	if c == nil {
 		return 0
 	}
-	return time.Duration(len(roles(c))) * standbyProbeShare
+	return time.Duration(len(roles(c))) * standbyProbePeriodPerRole
 }
 
 // fleetRole is the role that manages the instances of all pools; no pool has this name.
@@ -223,7 +224,7 @@
 	m := &fleet.Manager{
 		Journal: j, Instances: n.Ports.Instances, Clock: n.Clock, Logger: logger,
 		Limits: fleet.Limits{MaintenanceTime: b.MaintenanceTime.Std(), HolderLease: b.HolderLease.Std()},
-		Config: n.Gateway.Config, Waves: n.waveList, RequestReport: n.report, UpdateAllowances: n.allow,
+		Config: n.Gateway.Config, Waves: n.waveList, RequestReport: n.report, UpdateAllowances: n.updateAllowances,
 		ReportWave: func(ctx context.Context, wave int, done bool) error {
 			return n.Ports.Feeds.ReportWave(ctx, n.Ports.Store, wave, done)
 		},
--- a/node/rpc.go
+++ b/node/rpc.go
@@ -42,10 +42,10 @@
 	Data     []byte `json:"data,omitempty"`     // an encoded submission
 }
 
-// reportRequest requests the report of a pool from its owner.
+// reportRequest sends cordons to the owner of a pool and requests the pool's report.
 type reportRequest struct {
-	Pool  string                  `json:"pool"`
-	Asked scheduler.CordonRequest `json:"asked"`
+	Pool    string                  `json:"pool"`
+	Cordons scheduler.CordonRequest `json:"asked"`
 }
 
 // empty is the result of a call that only succeeds or fails.
@@ -116,7 +116,7 @@
 func (n *Node) onProbeFor(ctx context.Context, o directory.Node) (any, error) {
 	incarnation, err := n.probe(ctx, o)
 	if err == nil && incarnation != o.Incarnation {
-		err = errkind.New(errkind.NotFound, "node %s is another incarnation", o.Name)
+		err = errkind.New(errkind.NotFound, "node %s responds as another incarnation", o.Name)
 	}
 	return empty{}, err
 }
@@ -210,10 +210,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return o.Report(ctx, a.Asked)
+	return o.Report(ctx, a.Cordons)
 }
 
-// report requests the report of a pool from its owner, on this node or another.
+// report sends the cordons to the owner of a pool, on this node or another, and returns the pool's
+// report.
 func (n *Node) report(ctx context.Context, pool string, cordons scheduler.CordonRequest) (scheduler.Report, error) {
 	if o := n.owner(pool); o != nil {
 		return o.Report(ctx, cordons)
@@ -236,7 +237,7 @@
 	return n.client.Call(ctx, at.Address, method, params, result)
 }
 
-// allowRequest requests the quota report of a pool from its owner, and may bring other allowances.
+// allowRequest requests the quota report of a pool from its owner, and may contain new allowances.
 type allowRequest struct {
 	Pool  string      `json:"pool"`
 	Query quota.Query `json:"question"`
@@ -250,8 +251,9 @@
 	return o.UpdateAllowances(ctx, a.Query)
 }
 
-// allow requests the quota report of a pool from its owner, on this node or another.
-func (n *Node) allow(ctx context.Context, pool string, q quota.Query) (quota.Report, error) {
+// updateAllowances sends the new allowances of a query, if it has any, to the owner of a pool, on
+// this node or another, and returns the pool's quota report.
+func (n *Node) updateAllowances(ctx context.Context, pool string, q quota.Query) (quota.Report, error) {
 	if o := n.owner(pool); o != nil {
 		return o.UpdateAllowances(ctx, q)
 	}
--- a/node/script_event_test.go
+++ b/node/script_event_test.go
@@ -18,14 +18,20 @@
 	"github.com/yardbridge/yardbridge/standin/world"
 )
 
-// scriptEvent is one event of a script. Kinds: kill, stop, cut, store-silent, store-refuses,
-// store-lost, suspend (one node, or all if none is named), crash, crash-rack, silent, late, hangs,
-// fails, drain, shrink (of a worker, by its index among those of the pool), wave, limits (of the
-// customers, to a share of the original ones), orders-lost (responses of instance control),
-// history, parts-refuse, parts-silent (for all nodes: the partition of the pool if one is named,
-// otherwise a share of all partitions that pools and the role for instances may be written to),
-// relist (of ended incarnations), cancel (of the jobs of a pool), silence (of all open connections
-// between nodes).
+// scriptEvent is one event of a script. The kinds are:
+//
+//   - for one node, or all if none is named: kill, stop (after a hand-over), suspend, cut (from the
+//     other nodes), workers-cut (from the workers), store-silent, store-refuses, store-lost (a share
+//     of the store's responses);
+//   - for a worker, by its index among those of the pool: crash, silent, late, hangs, fails, drain,
+//     shrink (to a share of its capacity); crash-rack crashes the workers of a pool in the rack with
+//     the number that Worker states;
+//   - for the store as all nodes see it: parts-refuse, parts-silent (the partition of the pool if one
+//     is named, otherwise a share of all partitions that pools and the role for instances may be
+//     written to), history (old records are dropped);
+//   - wave, limits (of the customers, to a share of the original ones), orders-lost (a share of the
+//     responses of instance control), relist (of ended incarnations), cancel (of the jobs of a pool),
+//     silence (of all open connections between nodes).
 type scriptEvent struct {
 	At     tomlfile.Duration `toml:"at"`
 	Kind   string            `toml:"kind"`
