--- a/services/journal/claim.go
+++ b/services/journal/claim.go
@@ -24,9 +24,8 @@
 	Node  string `cbor:"2,keyasint"`
 }
 
-// The pauses before a call without a response is repeated. A claim is sent until its outcome is
-// known: if an epoch were raised without its writer knowing, the partition would be left without a
-// writer.
+// The pauses before an unsuccessful call is repeated. A claim is sent until its outcome is known: if
+// an epoch were raised without its writer knowing, the partition would be left without a writer.
 const (
 	claimRetry  = 100 * time.Millisecond
 	appendRetry = 50 * time.Millisecond
@@ -37,7 +36,7 @@
 // respond as well, or nothing is claimed. Everything is read before the last writer is fenced, so
 // that only what it has added since is read while there is no writer.
 func (j *Journal) Claim(ctx context.Context, node string) ([]port.Record, error) {
-	j.calls = make(chan struct{}, 1)
+	j.appending = make(chan struct{}, 1)
 	before, err := j.read(ctx, j.Partition)
 	if err != nil {
 		return nil, err
--- a/services/journal/journal.go
+++ b/services/journal/journal.go
@@ -29,9 +29,9 @@
 	// Count increments a counter; nil counts nothing.
 	Count func(counter string)
 
-	calls   chan struct{} // holds a token while an append is in progress; acquired before mu
-	primary partWriter    // of Partition; used by the holder of the token
-	standby standbyWriter // the same, of Standby
+	appending chan struct{} // holds a token while an append is in progress; acquired before mu
+	primary   partWriter    // of Partition; used by the holder of the token
+	standby   standbyWriter // the same, of Standby
 
 	mu            sync.Mutex
 	epoch         uint64
@@ -54,11 +54,11 @@
 func (j *Journal) Confirm(ctx context.Context) error {
 	called := j.Clock.Now()
 	select {
-	case j.calls <- struct{}{}:
+	case j.appending <- struct{}{}:
 	case <-ctx.Done():
 		return errNoResponse
 	}
-	defer func() { <-j.calls }()
+	defer func() { <-j.appending }()
 	if !j.LastConfirmed().Before(called) {
 		return nil
 	}
@@ -157,8 +157,8 @@
 // may outlast the call. Without records it only confirms the right, and does what is due for the
 // standby partition.
 func (j *Journal) Append(ctx context.Context, records []port.Record) error {
-	j.calls <- struct{}{}
-	defer func() { <-j.calls }()
+	j.appending <- struct{}{}
+	defer func() { <-j.appending }()
 	defer j.beginAppend()()
 	if err := j.collectOutcomes(); err != nil {
 		return err
--- a/services/journal/standby.go
+++ b/services/journal/standby.go
@@ -65,8 +65,8 @@
 	standbyMinDelay = 200 * time.Millisecond
 	// standbyMinPeriod is the minimum interval between probes of the standby partition. If it
 	// becomes unresponsive and its writer is gone before the mark says so, nobody can claim the
-	// journal until it responds again: this can happen for as long as this period and
-	// standbyTimeout.
+	// journal until it responds again. It takes up to the interval between two probes plus
+	// standbyTimeout until the mark says so.
 	standbyMinPeriod = 500 * time.Millisecond
 	// standbyTimeout is how long the standby partition may take to respond before it is marked as
 	// not in use.
@@ -199,7 +199,7 @@
 	return nil
 }
 
-// nextMark returns the mark for the primary once everything is there.
+// nextMark returns the mark that the primary is to have once it has all records.
 func (j *Journal) nextMark() standbyMark {
 	s := &j.standby
 	unresponsive := !s.idle() && j.Clock.Now().Sub(s.pending.began) > j.maxWait(standbyTimeout)
