--- a/services/directory/directory.go
+++ b/services/directory/directory.go
@@ -69,7 +69,8 @@
 	End   uint64 // offset of the partition up to which it was read
 }
 
-// Owner returns the node that owns a pool, and false if that node is not present.
+// Owner returns the node that owns a pool, and false if there is none or its process is not
+// registered.
 func (v *View) Owner(pool string) (Node, Ownership, bool) {
 	o, known := v.Pools[pool]
 	n, present := v.Nodes[o.Node]
--- a/services/directory/doc.go
+++ b/services/directory/doc.go
@@ -2,6 +2,6 @@
 // SPDX-License-Identifier: MIT
 
 // Package directory tracks the nodes of yardbridge and which of them owns which pool. It is a keyed
-// partition of the store that every node follows. Its owners are hints where to send requests
-// first; the authoritative owner of a pool is decided by the epoch of the pool's partition.
+// partition of the store that every node follows. The owners listed there are hints where to send
+// requests first; the authoritative owner of a pool is decided by the epoch of its partition.
 package directory
