--- a/services/monitor/doc.go
+++ b/services/monitor/doc.go
@@ -2,5 +2,5 @@
 // SPDX-License-Identifier: MIT
 
 // Package monitor detects nodes that are gone: each node probes its two successors by name, and
-// removes a node from the directory that neither it nor other nodes can reach.
+// removes from the directory a node that neither it nor other nodes can reach.
 package monitor
