--- a/services/snapshots/snapshots.go
+++ b/services/snapshots/snapshots.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// due reports whether a quarter of the retention has passed since the last snapshot, or many
-// records have been appended.
+// due reports whether a quarter of the log's retention has passed since the last snapshot, or
+// maxAppends appends have been made.
 func (t *Snapshotter) due(s state.State) bool {
 	return s.Now.Sub(s.SnapshotAt) >= t.Retention/4 || s.Offset-s.SnapshotOffset >= maxAppends
 }
