--- a/standin/world/advice.go
+++ b/standin/world/advice.go
@@ -38,7 +38,7 @@
 	return h.Sum32()%2 == 0
 }
 
-// Advisor returns the advice service.
+// Advisor returns the advice service, which handles one request at a time.
 func (w *World) Advisor() port.Advisor {
 	busy := make(chan struct{}, 1)
 	return port.Advisor{Advise: func(ctx context.Context, step string, ids []worker.ID) ([]port.Ticket, error) {
--- a/standin/world/check_test.go
+++ b/standin/world/check_test.go
@@ -33,7 +33,7 @@
 			w.RecordCancel("0000000000000001")
 			time.Sleep(cancelBound + time.Millisecond)
 		}, "UNASKED"},
-		{"long after a cancel and out of touch", func(w *World) {
+		{"long after a cancel, by an isolated node", func(w *World) {
 			w.RecordCancel("0000000000000001")
 			time.Sleep(cancelBound + time.Millisecond)
 			w.SetFaults("n1", func(f *Faults) { f.IsolatedUntil = time.Now().Add(time.Second) })
--- a/standin/world/crash.go
+++ b/standin/world/crash.go
@@ -19,9 +19,9 @@
 // Durations and limits of tasks that crash their workers.
 const (
 	crashAfter   = 10 * time.Millisecond // from the start of such a task
-	crashDown    = 3 * time.Second       // until the worker's instance is back
+	crashDown    = 3 * time.Second       // until the worker's instance is up again
 	maxCrashes   = 3                     // workers that a task may crash before its starts are counted
-	excessStarts = 3                     // starts after that many crashes, which is one too many
+	excessStarts = 3                     // number of starts after that many crashes that is a violation; fewer may have been decided on concurrently
 )
 
 // crashes reports whether a start crashes the worker.
--- a/standin/world/feed.go
+++ b/standin/world/feed.go
@@ -14,7 +14,7 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// Partitions that the operators write and read.
+// The operators write operatorsPartition, and read in wavesPartition which waves are done.
 var (
 	operatorsPartition = port.Partition{Topic: "model.operators"}
 	wavesPartition     = port.Partition{Topic: "model.told"}
--- a/standin/world/limit.go
+++ b/standin/world/limit.go
@@ -40,8 +40,8 @@
 	return false
 }
 
-// withoutStore reports whether a node can neither read the store nor learn its content from
-// other nodes.
+// withoutStore reports whether a node cannot read the store, or cannot learn its content
+// from other nodes.
 func (f *Faults) withoutStore() bool { return f.StoreUnresponsive || f.StoreUnavailable || f.PeersCut }
 
 // setLimits applies the limits of a configuration. The caller holds w.mu.
--- a/standin/world/link.go
+++ b/standin/world/link.go
@@ -56,8 +56,8 @@
 }
 
 // applyLate applies a delayed order to the incarnation that the worker's id has by then. If
-// that is another one which has not received any order yet, the order waits until the first
-// one arrives there.
+// that is another one which has not received any order yet, it knows no token by which to
+// reject the delayed order, so this waits until the first order arrives there.
 func (w *World) applyLate(sentTo *Worker, token uint64, do func(o *Worker) port.Result) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -114,7 +114,7 @@
 	}
 	r = &running{task: s.Task, number: s.Number, spec: s.Spec, size: size, startedAt: time.Now(), remaining: duration, duration: duration, countedAt: time.Now(), step: step, cpuShare: fullPercent}
 	o.runs[s.Task] = r
-	r.timer = time.AfterFunc(time.Hour, func() {})
+	r.timer = time.AfterFunc(time.Hour, func() {}) // a placeholder: schedule sets no timer for some runs, and end stops it
 	o.schedule(r)
 	if crashes(s) {
 		time.AfterFunc(crashAfter, func() { o.w.crashByTask(o.info.ID, s.Task) })
@@ -170,12 +170,12 @@
 }
 
 func (l *nodeLink) poll(ctx context.Context, k port.Poll) (worker.PollResult, port.Response) {
-	listing, a := l.pollOnce(ctx, k.Token, func(o *Worker) {
+	result, a := l.pollOnce(ctx, k.Token, func(o *Worker) {
 		o.extend(k.Deadline)
 		o.dropEnds(k.Acknowledged)
 	})
-	if a.Result != port.Accepted || len(listing.Ends) > 0 || k.Wait == 0 {
-		return listing, a
+	if a.Result != port.Accepted || len(result.Ends) > 0 || k.Wait == 0 {
+		return result, a
 	}
 	l.w.mu.Lock()
 	o := l.w.workers[l.id]
--- a/standin/world/network.go
+++ b/standin/world/network.go
@@ -125,8 +125,8 @@
 	blackholesAtOpen int64 // how often connections had been blackholed when it was opened
 }
 
-// Write writes the bytes, or discards them if they are lost. It must not block, because the
-// caller holds a lock that the fake clock cannot wait on.
+// Write writes the bytes, or discards them if they are lost. Discarding must not block: the
+// caller holds a lock, and a fake clock does not advance while goroutines wait for a lock.
 func (c *conn) Write(p []byte) (int, error) {
 	if c.blackholed.Load() || c.w.cut(c.a, c.b) || c.w.network.blackholes.Load() > c.blackholesAtOpen {
 		c.blackholed.Store(true)
--- a/standin/world/worker.go
+++ b/standin/world/worker.go
@@ -36,7 +36,7 @@
 	lastEnded      map[string]int // the newest run that has ended, by task
 	ends           []worker.EndedRun
 	lastSequence   int
-	voidEnds       int       // ends up to this sequence do not count
+	voidEnds       int       // ends up to this sequence number are never acknowledged
 	harmedSince    time.Time // since when backfill tasks keep a serving task over its latency objective
 	changed        chan struct{}
 	deferred       []func() // orders that wait until the fault ends
@@ -100,7 +100,8 @@
 // listedAfter is how long a crashed worker stays listed.
 const listedAfter = 4 * time.Second
 
-// Crash ends a worker's incarnation without notice; its instance comes back after a while.
+// Crash ends a worker's incarnation without notice; its instance is up again after the given
+// time.
 func (w *World) Crash(id worker.ID, down time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -209,7 +210,8 @@
 // which a node must learn of it, and one write of the worker's entry.
 const shrinkNotice = 4500 * time.Millisecond
 
-// Resize sets a worker's capacity to a share of its instance's capacity, and lists that.
+// Resize sets a worker's capacity to a share of its instance's capacity, and writes the
+// worker's entry with it.
 func (w *World) Resize(id worker.ID, share float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/standin/world/world.go
+++ b/standin/world/world.go
@@ -16,7 +16,8 @@
 	"github.com/yardbridge/yardbridge/services/port"
 )
 
-// World is the model; use New to create one. mu is its only lock.
+// World is the model; use New to create one. mu guards everything except the network, which
+// has its own lock.
 type World struct {
 	mu             sync.Mutex
 	random         *rand.Rand
@@ -47,7 +48,7 @@
 	StoreLatency       time.Duration // added to each response
 	PeersCut           bool          // nothing passes between this node and others
 	WorkersCut         bool          // nothing passes between this node and workers
-	IsolatedUntil      time.Time     // until when the node is out of touch, for the rules with a time bound
+	IsolatedUntil      time.Time     // until when the node may be out of contact, so that rules with a time bound do not apply to it
 	OrdersDelayedUntil time.Time     // until when its orders may be delayed in transit
 }
 
