--- a/modules/httpconn/conn.go
+++ b/modules/httpconn/conn.go
@@ -63,7 +63,7 @@
 	return Response{response.StatusCode, response.Header, body}, !response.Close && stop(), nil
 }
 
-// newRequest returns the net/http request; without a body it states none.
+// newRequest returns the net/http request; an empty body is omitted.
 func newRequest(host string, r Request) (*http.Request, error) {
 	target, err := url.Parse(r.Path)
 	if err != nil {
--- a/modules/httpconn/httpconn.go
+++ b/modules/httpconn/httpconn.go
@@ -27,10 +27,10 @@
 	Address string // IP and port
 	MaxIdle int    // idle connections to keep, 0 for one
 	// OnUnresponsive is called with the number of connections that were found unresponsive
-	// together, and the least time for which they had been; nil ignores them.
+	// together, and the least time for which they had been; it may be nil.
 	OnUnresponsive func(n int, after time.Duration)
 	// OnRetry is called for each call that would be retried, with whether the budget
-	// allowed it; nil ignores them.
+	// allowed it; it may be nil.
 	OnRetry func(allowed bool)
 
 	endpoint    silence.Endpoint
--- a/modules/httpserve/httpserve.go
+++ b/modules/httpserve/httpserve.go
@@ -28,8 +28,8 @@
 	IdleTimeout    time.Duration // between requests, 0 for no limit
 	MaxConnections int           // open connections, 0 for no limit
 	IdleGrace      time.Duration // how long Shutdown waits for requests on keep-alive connections, 0 for a second
-	// CurrentTimeouts returns shorter timeouts than those above for new requests, 0 for
-	// those above; nil always uses those above.
+	// CurrentTimeouts returns the timeouts for headers and for idle connections that apply
+	// from now on if they are shorter than those above, 0 for none; it may be nil.
 	CurrentTimeouts func() (header, idle time.Duration)
 
 	server            *http.Server
--- a/modules/httpserve/httpserve_test.go
+++ b/modules/httpserve/httpserve_test.go
@@ -45,9 +45,9 @@
 	t.Cleanup(func() { _ = c.Close() })
 	_, err = fmt.Fprint(c, text)
 	assert.NilError(t, err)
-	answer, err := http.ReadResponse(bufio.NewReader(c), nil)
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	assert.NilError(t, err)
-	return answer
+	return response
 }
 
 func TestTooManyConnections(t *testing.T) {
@@ -61,16 +61,16 @@
 
 func TestBodyTimeout(t *testing.T) {
 	address := start(t, &Server{ReadTimeout: 50 * time.Millisecond})
-	answer := exchange(t, address, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
-	assert.Equal(t, answer.Header.Get(errkind.HeaderKind), errkind.SlowRequest.String())
+	response := exchange(t, address, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
+	assert.Equal(t, response.Header.Get(errkind.HeaderKind), errkind.SlowRequest.String())
 }
 
 func TestDisableKeepAlives(t *testing.T) {
 	s := &Server{ReadTimeout: time.Minute}
 	address := start(t, s)
 	s.DisableKeepAlives()
-	answer := exchange(t, address, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-	assert.Assert(t, answer.Close, "the connection stays open")
+	response := exchange(t, address, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+	assert.Assert(t, response.Close, "the connection stays open")
 }
 
 // TestShutdownWaitsForFirstRequest guards against a shutdown that closes an accepted
@@ -102,9 +102,9 @@
 	}
 	_, err = fmt.Fprint(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	assert.NilError(t, err)
-	answer, err := http.ReadResponse(bufio.NewReader(c), nil)
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	assert.NilError(t, err)
-	assert.Equal(t, answer.StatusCode, http.StatusOK)
+	assert.Equal(t, response.StatusCode, http.StatusOK)
 	_ = c.Close()
 	assert.NilError(t, <-ended)
 }
--- a/modules/metrics/metrics.go
+++ b/modules/metrics/metrics.go
@@ -15,7 +15,7 @@
 
 	Requests    gometrics.Counter // requests of callers
 	Sends       gometrics.Counter // requests sent to targets
-	Retries     gometrics.Counter // of them, retries
+	Retries     gometrics.Counter // the sends that were retries
 	Refused     gometrics.Counter // responses with the outcome not-run
 	Unknown     gometrics.Counter // responses with an unknown outcome
 	Keyed       gometrics.Counter // requests that run at most once
--- a/modules/rpcconn/client.go
+++ b/modules/rpcconn/client.go
@@ -28,7 +28,7 @@
 	Dial   Dial
 	Logger *log.Logger
 	// OnUnresponsive is called for each connection that was found unresponsive, with its
-	// address and how long a call had waited on it; nil ignores them.
+	// address and how long a call had waited on it; it may be nil.
 	OnUnresponsive func(address string, after time.Duration)
 
 	mu    sync.Mutex
@@ -66,7 +66,7 @@
 	w := p.watch(ctx, began)
 	err = p.rpc.Call(ctx, method, params, result)
 	w.end()
-	if _, answered := err.(*jsonrpc2.Error); err == nil || answered { //nolint:errorlint // the library returns it as it is
+	if _, responded := err.(*jsonrpc2.Error); err == nil || responded { //nolint:errorlint // the library returns it as it is
 		p.retryPolicy.RecordResponse(began, 0)
 		return err
 	}
--- a/modules/rpcconn/client_test.go
+++ b/modules/rpcconn/client_test.go
@@ -173,14 +173,14 @@
 	for h.calls.Load() < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	ctx, giveUp := context.WithCancel(context.Background())
-	given := make(chan error, 1)
-	go func() { given <- client.Call(ctx, h.address, "hold", struct{}{}, nil) }()
+	ctx, cancel := context.WithCancel(context.Background())
+	cancelled := make(chan error, 1)
+	go func() { cancelled <- client.Call(ctx, h.address, "hold", struct{}{}, nil) }()
 	for h.calls.Load() < 3 {
 		time.Sleep(time.Millisecond)
 	}
-	giveUp()
-	assert.ErrorIs(t, <-given, context.Canceled)
+	cancel()
+	assert.ErrorIs(t, <-cancelled, context.Canceled)
 	close(h.release)
 	assert.NilError(t, <-other)
 	assert.Equal(t, h.opened.Load(), int64(1))
--- a/modules/setting/node.go
+++ b/modules/setting/node.go
@@ -26,7 +26,7 @@
 	Name       string  `toml:"name"`
 	DataCenter string  `toml:"data_center"`
 	Address    string  `toml:"address"` // IP at which other nodes reach it
-	Cores      float64 `toml:"cores"`   // its share of one core, times the number of cores
+	Cores      float64 `toml:"cores"`   // CPU capacity: its share of each core, times the number of cores
 	MemoryMB   int64   `toml:"memory_mb"`
 	LinkMbps   float64 `toml:"link_mbps"` // of its network link, 0 if unknown
 }
@@ -49,7 +49,7 @@
 
 // NodeBounds are the time bounds that the platform and the operators require of a node.
 type NodeBounds struct {
-	MaxLease            tomlfile.Duration `toml:"lease_most"`   // longest lease of what runs on a worker
+	MaxLease            tomlfile.Duration `toml:"lease_most"`   // longest lease of the runs on a worker
 	StopTime            tomlfile.Duration `toml:"stop_time"`    // the most that stopping a run takes
 	ShutdownGrace       tomlfile.Duration `toml:"grace"`        // from the signal to stop until the process is killed
 	StatusRetention     tomlfile.Duration `toml:"status_kept"`  // how long the state of an ended job can be queried
@@ -57,7 +57,7 @@
 	MoveTime            tomlfile.Duration `toml:"move_time"`    // of moving an instance to another pool
 	MaintenanceTime     tomlfile.Duration `toml:"repair_time"`  // of an instance's maintenance
 	UnavailableAfter    tomlfile.Duration `toml:"notice_time"`  // a long-running task counts as unavailable after this long
-	HolderLease         tomlfile.Duration `toml:"holder_lease"` // between the orders of two role holders for one instance
+	HolderLease         tomlfile.Duration `toml:"holder_lease"` // least time between the orders of two role holders for one instance
 	MaxInterferenceTime tomlfile.Duration `toml:"harm_time"`    // the longest that backfill tasks may degrade a serving one
 	CPUShareDelay       tomlfile.Duration `toml:"pace_time"`    // until a CPU share takes effect
 }
--- a/modules/silence/retry.go
+++ b/modules/silence/retry.go
@@ -19,8 +19,8 @@
 	delayFactor = 4
 	// averageWeight is the weight of the newest response in the average response time.
 	averageWeight = 0.3
-	// sampleInterval is one in how many calls is timed: with averageWeight, the average
-	// follows an endpoint that becomes slow within about twenty calls.
+	// sampleInterval means that one in so many responses is timed: with averageWeight, the
+	// average follows an endpoint that becomes slow within about twenty calls.
 	sampleInterval = 8
 	// budgetPerResponse is how much of a retry each response adds to the budget: at most a
 	// tenth more calls, however slow the endpoint is.
--- a/modules/silence/silence.go
+++ b/modules/silence/silence.go
@@ -136,10 +136,10 @@
 }
 
 // ResetOlder is called when the endpoint has responded on a new connection to a call that
-// got no response on an older one. All connections that were opened earlier are then
-// considered unresponsive and reset, unless they show the contrary: those on which no
-// response is expected, and those whose response is overdue. Calls that wait on them fail
-// immediately. It returns how many there were.
+// got no response on an older one. Connections that were opened earlier are then considered
+// unresponsive and reset if nothing shows that they work: those on which no response is
+// expected, and those on which one is overdue and no part of it was received. Calls that
+// wait on them fail immediately. It returns how many there were.
 func (e *Endpoint) ResetOlder(fresh *Conn) int {
 	unresponsive := e.olderThan(fresh)
 	for _, c := range unresponsive {
--- a/modules/silence/silence_test.go
+++ b/modules/silence/silence_test.go
@@ -20,8 +20,8 @@
 }
 
 // TestResetOlder plays random sequences of opening connections, reading, expecting
-// responses and resetting; only connections that are older and show no sign of life may be
-// reset.
+// responses and resetting: all older connections must be reset, except those that wait for a
+// response which is not due yet.
 func TestResetOlder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var e Endpoint
@@ -97,18 +97,18 @@
 func TestRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r RetryPolicy
-		answered, allowed := 0, 0
+		responses, allowed := 0, 0
 		for _, isResponse := range rapid.SliceOf(rapid.Bool()).Draw(t, "calls") {
 			if isResponse {
 				r.RecordResponse(time.Now(), 0)
-				answered++
+				responses++
 				continue
 			}
 			if r.Spend() {
 				allowed++
 			}
 		}
-		assert.Assert(t, float64(allowed) <= maxBudget+budgetPerResponse*float64(answered)+1e-6, "%d of %d", allowed, answered)
+		assert.Assert(t, float64(allowed) <= maxBudget+budgetPerResponse*float64(responses)+1e-6, "%d of %d", allowed, responses)
 	})
 }
 
@@ -129,7 +129,7 @@
 func TestSlowEndpointIsLearnedFromOneRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var r RetryPolicy
-		answer := func(takes time.Duration) (repeated bool) {
+		call := func(takes time.Duration) (retried bool) {
 			began := time.Now()
 			if takes <= r.RetryDelay() {
 				time.Sleep(takes)
@@ -143,13 +143,13 @@
 			r.RecordResponse(again, 0)
 			return true
 		}
-		repeated := 0
+		retries := 0
 		for range 20 {
-			repeated += map[bool]int{true: 1}[answer(300*time.Millisecond)]
+			retries += map[bool]int{true: 1}[call(300*time.Millisecond)]
 		}
-		assert.Equal(t, repeated, 1)
+		assert.Equal(t, retries, 1)
 		for range 100 {
-			answer(4 * time.Millisecond)
+			call(4 * time.Millisecond)
 		}
 		assert.Equal(t, r.RetryDelay(), minRetryDelay)
 	})
