--- a/standin/log.go
+++ b/standin/log.go
@@ -149,12 +149,12 @@
 func (l *Log) Read(ctx context.Context, from uint64, wait time.Duration) (platform.Page, error) {
 	timeout := l.Clock.After(wait)
 	for {
-		page, grown, err := l.page(from)
+		page, appended, err := l.page(from)
 		if err != nil || len(page.Records) > 0 || page.First > from {
 			return page, err
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-timeout:
 			return page, nil
 		case <-ctx.Done():
@@ -172,8 +172,8 @@
 	l.trim()
 	page := platform.Page{First: l.first, Next: l.first + uint64(len(l.records))}
 	if from >= l.first && from < page.Next {
-		rest := l.records[from-l.first:]
-		page.Records = rest[:min(len(rest), pageRecords)]
+		remaining := l.records[from-l.first:]
+		page.Records = remaining[:min(len(remaining), pageRecords)]
 	}
 	if l.appended == nil {
 		l.appended = make(chan struct{})
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -48,8 +48,8 @@
 	state       platform.TaskState
 	leaseEnds   time.Time
 	ends        time.Time
-	usedCores   int // at most as many as it is throttled to
-	wantedCores int // used if it were not throttled
+	usedCores   int // at most the throttle limit
+	wantedCores int // that it would use without a throttle limit
 
 	changed uint64 // revision of the reports at which it changed
 }
@@ -119,7 +119,7 @@
 	p.loseResponses = n
 }
 
-// SetEntry adds an instance of this project to the list or removes it.
+// SetEntry adds an entry to the instance list or removes it.
 func (p *Platform) SetEntry(name string, listed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/target.go
+++ b/standin/target.go
@@ -172,7 +172,7 @@
 		http.Error(w, "injected failure", http.StatusInternalServerError)
 		return
 	case faults.Garbage:
-		sendRaw(w, "this is no answer\r\n\r\n")
+		sendRaw(w, "this is not HTTP\r\n\r\n")
 		return
 	case faults.Truncate:
 		sendRaw(w, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nthe first part")
