--- a/entry/peers.go
+++ b/entry/peers.go
@@ -98,7 +98,7 @@
 		}
 	}
 	if newest.Offset == 0 {
-		return newest, errkind.New(errkind.LogUnavailable, "none of %d peers has a state to offer", len(addresses))
+		return newest, errkind.New(errkind.LogUnavailable, "none of %d peers returned a state", len(addresses))
 	}
 	return newest, nil
 }
@@ -124,7 +124,7 @@
 	return peerrpc.AwaitMarkResponse{Reached: e.Ledger.WaitFor(bounded, m) == nil}
 }
 
-// leaving stops new requests to targets on this entry. If that is new information it is announced
+// leaving stops new requests to targets on this entry. If that is new information, it is announced
 // to other entries, so that all of them know within a few hops.
 func (e *Entry) leaving(workers []string) {
 	if !e.Holder.MarkLeaving(workers) {
