--- a/routers/apiv1/router.go
+++ b/routers/apiv1/router.go
@@ -20,10 +20,11 @@
 // Prefix is the common prefix of all paths of this version.
 const Prefix = "/api/v1"
 
-// HeaderMinOffset is the offset up to which the response must at least reflect the log.
+// HeaderMinOffset is the request header with the offset up to which the response must at least
+// reflect the log.
 const HeaderMinOffset = "Yardbridge-Min-Offset"
 
-// HeaderOffset is the offset up to which the response reflects the log.
+// HeaderOffset is the response header with the offset up to which the response reflects the log.
 const HeaderOffset = "Yardbridge-Offset"
 
 // maxJSON is the largest request body, except for declarative files.
--- a/routers/daemon/daemon.go
+++ b/routers/daemon/daemon.go
@@ -65,7 +65,7 @@
 	d.Kill()
 	if stopped {
 		// The error of the start is a consequence of the stop.
-		logger.Info().Str("event", "stop").AnErr("err", err).Msg("the entry is stopped before it is ready")
+		logger.Info().Str("event", "stop").AnErr("err", err).Msg("the entry was stopped before it was ready")
 		err = errors.Trace(ctx.Err())
 	}
 	return nil, err
--- a/routers/daemon/calm.go
+++ b/routers/daemon/quiet_wait.go
@@ -31,10 +31,10 @@
 		if last := c.LastRequest(); last.After(since) {
 			since = last
 		}
-		left := c.Quiet - now.Sub(since)
-		if left <= 0 || now.Sub(startedAt) >= maxQuietSpans*c.Quiet {
+		remaining := c.Quiet - now.Sub(since)
+		if remaining <= 0 || now.Sub(startedAt) >= maxQuietSpans*c.Quiet {
 			return
 		}
-		<-c.Clock.After(left)
+		<-c.Clock.After(remaining)
 	}
 }
--- a/routers/daemon/calm_test.go
+++ b/routers/daemon/quiet_wait_test.go
@@ -12,7 +12,8 @@
 	"github.com/yardbridge/yardbridge/modules/clock"
 )
 
-// TestQuietWait runs the wait on a fake clock that advances by each time waited for.
+// TestQuietWait guards against a stop that does not wait for a slow load balancer, or that callers
+// can delay for ever. The fake clock advances by each time waited for.
 func TestQuietWait(t *testing.T) {
 	begin := time.Date(2026, 3, 2, 1, 0, 0, 0, time.UTC)
 	const span = time.Second
