--- a/adapters/noderpc/client_test.go
+++ b/adapters/noderpc/client_test.go
@@ -27,8 +27,8 @@
 	far, err := l.Accept()
 	assert.NilError(t, err)
 	defer far.Close() //nolint:errcheck // the test is over
-	var end silence.Endpoint
-	end.Track(raw).Reset()
+	var endpoint silence.Endpoint
+	endpoint.Track(raw).Reset()
 	_, err = far.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, syscall.ECONNRESET)
 }
