--- a/services/dispatch/attempt.go
+++ b/services/dispatch/attempt.go
@@ -268,22 +268,22 @@
 	pools map[string]time.Duration
 }
 
-func (u *typicalTimes) of(pool string) time.Duration {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.pools[pool]
+func (t *typicalTimes) of(pool string) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.pools[pool]
 }
 
-func (u *typicalTimes) add(pool string, took time.Duration) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.pools == nil {
-		u.pools = make(map[string]time.Duration)
+func (t *typicalTimes) add(pool string, took time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.pools == nil {
+		t.pools = make(map[string]time.Duration)
 	}
-	old, known := u.pools[pool]
+	old, known := t.pools[pool]
 	if !known {
-		u.pools[pool] = took
+		t.pools[pool] = took
 		return
 	}
-	u.pools[pool] = old + time.Duration(typicalWeight*float64(took-old))
+	t.pools[pool] = old + time.Duration(typicalWeight*float64(took-old))
 }
--- a/services/dispatch/dispatcher.go
+++ b/services/dispatch/dispatcher.go
@@ -33,7 +33,7 @@
 	HeaderTimeout        = "Yardbridge-Timeout" // from the caller, such as 500ms
 	HeaderClass          = "Yardbridge-Class"   // from the caller, interactive or batch
 	HeaderDeadline       = "Yardbridge-Deadline"
-	HeaderConfig         = "Yardbridge-Config"  // version of the configuration that served
+	HeaderConfig         = "Yardbridge-Config"  // version of the configuration by which the request was served
 	HeaderLeaving        = "Yardbridge-Leaving" // from a target that accepts no more requests
 	HeaderEnded          = "Yardbridge-Ended"   // trailer of a stream that was ended early
 )
@@ -134,7 +134,7 @@
 	return c.serveWithRetries()
 }
 
-// refuse responds with an error of the closed list of kinds.
+// refuse responds with an error, which gets one of the kinds of errkind.
 func (c *call) refuse(err error) {
 	e := errkind.Of(err)
 	switch e.Kind.Response().Outcome {
--- a/services/dispatch/faults_test.go
+++ b/services/dispatch/faults_test.go
@@ -303,7 +303,7 @@
 }
 
 // refusingAddress is an address without a listener. The port of a closed target may be assigned to
-// another process immediately; the port of the tcpmux service is not assigned.
+// another process immediately; port 1 is reserved for tcpmux and is never assigned that way.
 const refusingAddress = "127.0.0.1:1"
 
 // dial connects to a target; for a closed one it connects to an address at which the kernel refuses
--- a/services/dispatch/late_test.go
+++ b/services/dispatch/late_test.go
@@ -28,7 +28,7 @@
 	remainder string        // arrives a little after the deadline, empty for never
 	suspended time.Duration // how long this process is suspended from the deadline on
 	want      int
-	took      time.Duration
+	took      time.Duration // time until the caller gets the response
 }
 
 // Times of lateResponse.
@@ -141,11 +141,11 @@
 func TestLateSlotIsNotUsed(t *testing.T) {
 	metrics.New() // the goroutine of the metrics library must not belong to the synctest bubble
 	for name, c := range map[string]slotCase{
-		"in time":                              {typical: 100 * time.Millisecond, lent: 200 * time.Millisecond, want: http.StatusOK, took: 200*time.Millisecond + lateFirst},
-		"nearly at the deadline":               {typical: 100 * time.Millisecond, lent: lateTimeout - 3*time.Millisecond, want: http.StatusServiceUnavailable, took: lateTimeout - 25*time.Millisecond},
-		"a part of the typical time is left":   {typical: 200 * time.Millisecond, lent: lateTimeout - 40*time.Millisecond, want: http.StatusServiceUnavailable, took: lateTimeout - 50*time.Millisecond},
-		"less than the typical time requested": {typical: time.Minute, lent: lateTimeout / 3, want: http.StatusOK, took: lateTimeout/3 + lateFirst},
-		"half of the time was spent waiting":   {typical: time.Minute, lent: lateTimeout - 3*time.Millisecond, want: http.StatusServiceUnavailable, took: lateTimeout / 2},
+		"in time":                            {typical: 100 * time.Millisecond, lent: 200 * time.Millisecond, want: http.StatusOK, took: 200*time.Millisecond + lateFirst},
+		"nearly at the deadline":             {typical: 100 * time.Millisecond, lent: lateTimeout - 3*time.Millisecond, want: http.StatusServiceUnavailable, took: lateTimeout - 25*time.Millisecond},
+		"a part of the typical time is left": {typical: 200 * time.Millisecond, lent: lateTimeout - 40*time.Millisecond, want: http.StatusServiceUnavailable, took: lateTimeout - 50*time.Millisecond},
+		"timeout below the typical time":     {typical: time.Minute, lent: lateTimeout / 3, want: http.StatusOK, took: lateTimeout/3 + lateFirst},
+		"half of the time was spent waiting": {typical: time.Minute, lent: lateTimeout - 3*time.Millisecond, want: http.StatusServiceUnavailable, took: lateTimeout / 2},
 	} {
 		synctest.Test(t, func(t *testing.T) { c.run(t, name) })
 	}
--- a/services/gateway/gateway.go
+++ b/services/gateway/gateway.go
@@ -81,28 +81,28 @@
 	if accepted, err := g.acceptedEarlier(ctx, q, s.ID, s.Customer); accepted || err != nil {
 		return err
 	}
-	_, err := call(ctx, g, q.Pool, func(ctx context.Context, d *PoolHandler) (noResult, error) {
-		return noResult{}, d.Submit(ctx, s)
+	_, err := call(ctx, g, q.Pool, func(ctx context.Context, h *PoolHandler) (noResult, error) {
+		return noResult{}, h.Submit(ctx, s)
 	})
 	return err
 }
 
 // Cancel cancels a job on behalf of a customer and returns once the cancellation is persisted.
 func (g *Gateway) Cancel(ctx context.Context, q *config.Queue, id job.ID, customer string) error {
-	_, err := callAnyOwner(ctx, g, q, func(ctx context.Context, d *PoolHandler) (noResult, error) {
-		return noResult{}, d.Cancel(ctx, id, customer)
+	_, err := callAnyOwner(ctx, g, q, func(ctx context.Context, h *PoolHandler) (noResult, error) {
+		return noResult{}, h.Cancel(ctx, id, customer)
 	})
 	return err
 }
 
 // State returns the state of a job that is reported to a customer.
 func (g *Gateway) State(ctx context.Context, q *config.Queue, id job.ID, customer string) (job.State, error) {
-	return callAnyOwner(ctx, g, q, func(ctx context.Context, d *PoolHandler) (job.State, error) { return d.State(ctx, id, customer) })
+	return callAnyOwner(ctx, g, q, func(ctx context.Context, h *PoolHandler) (job.State, error) { return h.State(ctx, id, customer) })
 }
 
 // Pending returns the number of a queue's jobs that have not started.
 func (g *Gateway) Pending(ctx context.Context, q *config.Queue) (int, error) {
-	return call(ctx, g, q.Pool, func(ctx context.Context, d *PoolHandler) (int, error) { return d.Pending(ctx, q.Key()) })
+	return call(ctx, g, q.Pool, func(ctx context.Context, h *PoolHandler) (int, error) { return h.Pending(ctx, q.Key()) })
 }
 
 // callAnyOwner calls the owner of a queue's pool and, if that does not know the job, the owners of
--- a/services/gateway/gateway_test.go
+++ b/services/gateway/gateway_test.go
@@ -20,7 +20,7 @@
 
 // TestRefusalAfterUnknownOutcomeStaysUnknown checks a submission whose first attempt gets no
 // response, so that its job may have been accepted, and whose second attempt is refused. The caller
-// must not be told that the job never runs.
+// must not get the refusal, which would mean that the job never runs.
 func TestRefusalAfterUnknownOutcomeStaysUnknown(t *testing.T) {
 	for _, refusal := range []errkind.Kind{errkind.LogUnavailable, errkind.Overloaded, errkind.Stopping} {
 		tries := 0
--- a/services/gateway/moved.go
+++ b/services/gateway/moved.go
@@ -14,7 +14,7 @@
 	"github.com/yardbridge/yardbridge/modules/errkind"
 )
 
-// moveTTL is how long after a queue was moved to another pool the previous pool is still asked
+// moveTTL is how long after a queue was moved to another pool the previous pool is still queried
 // whether it has accepted a job. A job is submitted again at most some seconds after it was
 // accepted; the limit allows ten times that.
 const moveTTL = 30 * time.Second
@@ -47,7 +47,7 @@
 		if m.previous == nil {
 			m.previous = make(map[string][]previousPool)
 		}
-		list := slices.DeleteFunc(m.previous[q.Key()], func(d previousPool) bool { return d.pool == q.Pool })
+		list := slices.DeleteFunc(m.previous[q.Key()], func(p previousPool) bool { return p.pool == q.Pool })
 		m.previous[q.Key()] = append(list, previousPool{q.Pool, now})
 	}
 }
@@ -55,7 +55,7 @@
 // expire drops moves older than moveTTL. The lock is held.
 func (m *poolMoves) expire(now time.Time) {
 	for key, list := range m.previous {
-		list = slices.DeleteFunc(list, func(d previousPool) bool { return now.Sub(d.until) > moveTTL })
+		list = slices.DeleteFunc(list, func(p previousPool) bool { return now.Sub(p.until) > moveTTL })
 		if len(list) == 0 {
 			delete(m.previous, key)
 			continue
@@ -69,19 +69,19 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var pools []string
-	for _, d := range m.previous[q.Key()] {
-		if d.pool != q.Pool && now.Sub(d.until) <= moveTTL {
-			pools = append(pools, d.pool)
+	for _, p := range m.previous[q.Key()] {
+		if p.pool != q.Pool && now.Sub(p.until) <= moveTTL {
+			pools = append(pools, p.pool)
 		}
 	}
 	return pools
 }
 
 // acceptedEarlier reports whether a pool that the queue used within moveTTL has accepted a job. If
-// such a pool can't tell, the outcome is unknown, since the job may exist there.
+// the query to such a pool fails, the outcome is unknown, since the job may exist there.
 func (g *Gateway) acceptedEarlier(ctx context.Context, q *config.Queue, id job.ID, customer string) (bool, error) {
 	for _, pool := range g.moves.earlierPools(q, g.Clock.Now()) {
-		state, err := call(ctx, g, pool, func(ctx context.Context, d *PoolHandler) (job.State, error) { return d.State(ctx, id, customer) })
+		state, err := call(ctx, g, pool, func(ctx context.Context, h *PoolHandler) (job.State, error) { return h.State(ctx, id, customer) })
 		switch {
 		case err == nil:
 			g.Logger.Info().Str("event", "submit").Str("job", string(id)).Str("queue", q.Key()).Str("pool", pool).Str("now", q.Pool).
--- a/services/jobs/decider.go
+++ b/services/jobs/decider.go
@@ -161,7 +161,7 @@
 	defer cancel()
 	verdicts, err := d.Propose(bounded, records)
 	if err != nil {
-		d.Logger.Warn().Err(err).Msg("jobs not proposed")
+		d.Logger.Warn().Err(err).Msg("records about jobs not proposed")
 		return
 	}
 	for _, v := range verdicts {
@@ -208,7 +208,7 @@
 	for _, t := range f.overusing {
 		run, _, _ := runOf(t.ID)
 		r, _ := s.Runs.Get(run)
-		// The next attempt is placed by the size that was measured.
+		// The next attempt is placed with the measured number of cores.
 		_ = d.Tasks.Throttle(bounded, t.Worker, t.ID, r.Cores)
 	}
 }
--- a/services/jobs/decider_test.go
+++ b/services/jobs/decider_test.go
@@ -125,6 +125,8 @@
 	return r
 }
 
+// TestTwoDecidersStartOnce checks that a run starts only once if the holder of the role is suspended
+// after it has placed the run, and acts on its stale state when another entry holds the role.
 func TestTwoDecidersStartOnce(t *testing.T) {
 	y := newCluster(2, "a", "b")
 	y.acquireRole("a")
@@ -140,6 +142,8 @@
 	assert.Equal(t, y.platform.StartCount(id), 1)
 }
 
+// TestStarterLostBeforeItReports checks that, if an entry is lost after its placements were accepted,
+// a run that must not be repeated ends as unknown, and only a repeatable one gets another attempt.
 func TestStarterLostBeforeItReports(t *testing.T) {
 	y := newCluster(2, "a", "b")
 	y.acquireRole("a")
@@ -156,6 +160,8 @@
 	assert.Equal(t, y.run(repeatable).State, record.Done)
 }
 
+// TestStartResponseLost checks that a task is not started again if it has started and the response to
+// the start call was lost.
 func TestStartResponseLost(t *testing.T) {
 	y := newCluster(1, "a")
 	y.acquireRole("a")
@@ -191,6 +197,8 @@
 	assert.Equal(t, y.State().WorkerUsage("w0").Runs, 0)
 }
 
+// TestLeaseLapsesWhileHolderIsSuspended checks that a task whose lease was not renewed in time is not
+// started again, since its run must not be repeated, and that the run ends as unknown.
 func TestLeaseLapsesWhileHolderIsSuspended(t *testing.T) {
 	y := newCluster(1, "a")
 	y.acquireRole("a")
--- a/services/jobs/place.go
+++ b/services/jobs/place.go
@@ -43,7 +43,7 @@
 	maintenance *manifest.Maintenance // nil for none
 	pools       map[string][]state.Instance
 	cores       map[string]int         // measured cores by job, 0 if unknown
-	unplaceable map[string][]resources // by pool, sizes that do not fit, so that runs of the same size are not tried again
+	unplaceable map[string][]resources // by pool, sizes that do not fit, so that runs of that size or a larger one are not tried again
 }
 
 // resources are what a run needs on a worker.
--- a/services/jobs/placer.go
+++ b/services/jobs/placer.go
@@ -11,8 +11,8 @@
 	"github.com/yardbridge/yardbridge/models/state"
 )
 
-// preemptRetryDelay is how long a pool is skipped after runs were told to stop to free capacity in
-// it; then those that still run are told to stop again.
+// preemptRetryDelay is how long a pool is skipped after a request to stop some of its runs, which
+// frees capacity; after that time a further stop is requested for those that still run.
 const preemptRetryDelay = time.Second
 
 // Placer makes successive plans and examines only the pools in which something has changed that
@@ -24,10 +24,9 @@
 
 // poolCheck is the result of the last placement attempt in a pool.
 type poolCheck struct {
-	offset  uint64 // offset of the state that was examined
-	waiting map[string]Reason
-	teams   map[string]bool // teams whose quota keeps runs waiting
-
+	offset    uint64 // offset of the state that was examined
+	waiting   map[string]Reason
+	teams     map[string]bool // teams whose quota keeps runs waiting
 	customers map[string]bool // customers whose limits keep runs waiting
 	recheckAt time.Time       // when to examine the pool again in any case, zero for never
 }
--- a/services/jobs/service.go
+++ b/services/jobs/service.go
@@ -43,55 +43,55 @@
 	Submitted time.Time       `json:"submitted"`
 }
 
-func (d *Service) status(id string, r state.Run) Status {
-	s := Status{
+func (s *Service) status(id string, r state.Run) Status {
+	status := Status{
 		ID: id, Job: r.Job.Name, Team: r.Job.Team, State: r.State, Attempt: r.Attempt,
 		Worker: r.Worker, Reason: r.Reason, Submitted: r.SubmittedAt,
 	}
 	if !r.Deadline.IsZero() {
-		s.Deadline = &r.Deadline
+		status.Deadline = &r.Deadline
 	}
-	if reason, ok := d.Waiting()[r.Job.Pool][id]; ok && r.State == record.Pending {
-		s.Reason = string(reason)
+	if reason, ok := s.Waiting()[r.Job.Pool][id]; ok && r.State == record.Pending {
+		status.Reason = string(reason)
 	}
-	return s
+	return status
 }
 
 // List returns the runs of a team, or all runs for an empty team.
-func (d *Service) List(team string) []Status {
+func (s *Service) List(team string) []Status {
 	list := []Status{}
-	for id, r := range d.State().Runs.All() {
+	for id, r := range s.State().Runs.All() {
 		if team == "" || r.Job.Team == team {
-			list = append(list, d.status(id, r))
+			list = append(list, s.status(id, r))
 		}
 	}
 	return list
 }
 
 // Get returns the status of one run.
-func (d *Service) Get(team, id string) (Status, error) {
-	r, ok := d.State().Runs.Get(id)
+func (s *Service) Get(team, id string) (Status, error) {
+	r, ok := s.State().Runs.Get(id)
 	if !ok || team != "" && r.Job.Team != team {
 		return Status{}, errkind.New(errkind.NotFound, "job run %.80q is not known", id)
 	}
-	return d.status(id, r), nil
+	return s.status(id, r), nil
 }
 
 // Submit appends a run to the log. A submission with a known key returns the run that has it.
-func (d *Service) Submit(ctx context.Context, team string, q Submission) (Status, error) {
-	s := d.State()
-	if err := oncekey.Check(q.Key, s.Now); err != nil {
+func (s *Service) Submit(ctx context.Context, team string, request Submission) (Status, error) {
+	current := s.State()
+	if err := oncekey.Check(request.Key, current.Now); err != nil {
 		return Status{}, err
 	}
-	o, ok := s.Catalog.Get(manifest.Ref{Kind: manifest.KindJob, Name: q.Job})
+	o, ok := current.Catalog.Get(manifest.Ref{Kind: manifest.KindJob, Name: request.Job})
 	if !ok {
-		return Status{}, errkind.New(errkind.NotFound, "job %.80q is not declared", q.Job)
+		return Status{}, errkind.New(errkind.NotFound, "job %.80q is not declared", request.Job)
 	}
 	if team != "" && o.Job.Team != team {
-		return Status{}, errkind.New(errkind.Forbidden, "job %s belongs to another team", q.Job)
+		return Status{}, errkind.New(errkind.Forbidden, "job %s belongs to another team", request.Job)
 	}
-	verdicts, err := d.Propose(ctx, []record.Record{{Submit: &record.Submit{
-		ID: q.Key, Job: *o.Job, Deadline: FinishBy(*o.Job, d.Clock.Now()),
+	verdicts, err := s.Propose(ctx, []record.Record{{Submit: &record.Submit{
+		ID: request.Key, Job: *o.Job, Deadline: FinishBy(*o.Job, s.Clock.Now()),
 	}}})
 	if err != nil {
 		return Status{}, err
@@ -99,7 +99,7 @@
 	if v := verdicts[0]; v != nil && !errkind.Is(v, errkind.AlreadyRun) {
 		return Status{}, v
 	}
-	return d.Get(team, q.Key)
+	return s.Get(team, request.Key)
 }
 
 // CancelResult lists the cancelled runs.
@@ -111,10 +111,10 @@
 const cancelChunk = 500
 
 // Cancel cancels runs. If one of them is unknown or belongs to another team, none is cancelled.
-func (d *Service) Cancel(ctx context.Context, team string, ids []string) (CancelResult, error) {
-	s := d.State()
+func (s *Service) Cancel(ctx context.Context, team string, ids []string) (CancelResult, error) {
+	current := s.State()
 	for _, id := range ids {
-		r, ok := s.Runs.Get(id)
+		r, ok := current.Runs.Get(id)
 		if !ok || team != "" && r.Job.Team != team {
 			return CancelResult{}, errkind.New(errkind.NotFound, "job run %.80q is not known; nothing was cancelled", id)
 		}
@@ -127,6 +127,6 @@
 	if len(records) == 0 {
 		return CancelResult{IDs: []string{}}, nil
 	}
-	_, err := d.Propose(ctx, records)
+	_, err := s.Propose(ctx, records)
 	return CancelResult{IDs: ids}, err
 }
--- a/services/once/once.go
+++ b/services/once/once.go
@@ -45,7 +45,7 @@
 	return h.Sum(nil)[:16]
 }
 
-// Claim is a key that only this process may dispatch, once.
+// Claim is the right to dispatch the request with a key once; no other process has it.
 type Claim struct {
 	Key    string
 	Offset uint64 // of the claim
@@ -53,17 +53,17 @@
 
 // Claim reserves the key for one dispatch by the caller of this function. If a response is stored
 // for the key, it is returned with an AlreadyRun error.
-func (d *Service) Claim(ctx context.Context, key string, fingerprint []byte) (Claim, *record.Reply, error) {
-	if err := oncekey.Check(key, d.Clock.Now()); err != nil {
+func (s *Service) Claim(ctx context.Context, key string, fingerprint []byte) (Claim, *record.Reply, error) {
+	if err := oncekey.Check(key, s.Clock.Now()); err != nil {
 		return Claim{}, nil, err
 	}
-	late := func(verdicts []state.Verdict) { d.releaseClaim(key, verdicts) }
+	late := func(verdicts []state.Verdict) { s.releaseClaim(key, verdicts) }
 	records := []record.Record{{Claim: &record.Claim{Key: key, Sum: fingerprint}}}
-	verdicts, err := d.Ledger.Propose(ctx, records, late)
+	verdicts, err := s.Ledger.Propose(ctx, records, late)
 	if err != nil {
 		return Claim{}, nil, notRun(err)
 	}
-	c, _ := d.Ledger.State().Claim(key)
+	c, _ := s.Ledger.State().Claim(key)
 	if verdicts[0] == nil {
 		return Claim{Key: key, Offset: c.Offset}, nil, nil
 	}
@@ -84,23 +84,23 @@
 }
 
 // releaseClaim releases a key whose claim was accepted after its request had been refused.
-func (d *Service) releaseClaim(key string, verdicts []state.Verdict) {
+func (s *Service) releaseClaim(key string, verdicts []state.Verdict) {
 	if verdicts[0] == nil {
-		c, _ := d.Ledger.State().Claim(key)
-		d.Finish(record.Result{Key: key, Claim: c.Offset, NotRun: true})
+		c, _ := s.Ledger.State().Claim(key)
+		s.Finish(record.Result{Key: key, Claim: c.Offset, NotRun: true})
 	}
 }
 
 // Finish records the result of a claimed request. It waits for the log up to ResultTimeout; if the
 // result is not recorded, the key stays claimed and repeated requests are refused.
-func (d *Service) Finish(r record.Result) {
-	timeout := d.ResultTimeout
+func (s *Service) Finish(r record.Result) {
+	timeout := s.ResultTimeout
 	if timeout == 0 {
 		timeout = defaultResultTimeout
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	if _, err := d.Ledger.Propose(ctx, []record.Record{{Result: &r}}, nil); err != nil {
-		d.Logger.Warn().Err(err).Msg("the result of a keyed request was not recorded")
+	if _, err := s.Ledger.Propose(ctx, []record.Record{{Result: &r}}, nil); err != nil {
+		s.Logger.Warn().Err(err).Msg("the result of a keyed request was not recorded")
 	}
 }
--- a/services/outlier/outlier.go
+++ b/services/outlier/outlier.go
@@ -11,8 +11,8 @@
 )
 
 // The policy: after this many consecutive failures a target is ejected, for a time that grows by a
-// half with each failed trial. A target that has recovered is therefore in use again after at most
-// half of the time for which it failed.
+// half with each failed trial. A target that recovers is therefore in use again after at most about
+// half of the time for which it had failed.
 const (
 	consecutiveFailures = 5
 	firstEjection       = 250 * time.Millisecond
@@ -39,43 +39,43 @@
 	latency    time.Duration
 }
 
-func (w *Detector) get(worker string) *targetRecord {
-	if w.targets == nil {
-		w.targets = make(map[string]*targetRecord)
+func (d *Detector) get(worker string) *targetRecord {
+	if d.targets == nil {
+		d.targets = make(map[string]*targetRecord)
 	}
-	r, ok := w.targets[worker]
+	r, ok := d.targets[worker]
 	if !ok {
 		r = &targetRecord{}
-		w.targets[worker] = r
+		d.targets[worker] = r
 	}
 	return r
 }
 
 // MayUse reports whether a request may be sent to a target.
-func (w *Detector) MayUse(worker string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	r := w.get(worker)
+func (d *Detector) MayUse(worker string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	r := d.get(worker)
 	if r.ejectedFor == 0 {
 		return true
 	}
-	return !r.onTrial && !w.Clock.Now().Before(r.until)
+	return !r.onTrial && !d.Clock.Now().Before(r.until)
 }
 
 // RecordStart records that a request is sent to a target; an ejected target is then on trial.
-func (w *Detector) RecordStart(worker string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if r := w.get(worker); r.ejectedFor > 0 {
+func (d *Detector) RecordStart(worker string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if r := d.get(worker); r.ejectedFor > 0 {
 		r.onTrial = true
 	}
 }
 
 // RecordSuccess records a response and its time.
-func (w *Detector) RecordSuccess(worker string, took time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	r := w.get(worker)
+func (d *Detector) RecordSuccess(worker string, took time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	r := d.get(worker)
 	r.failures, r.ejectedFor, r.onTrial = 0, 0, false
 	if r.latency == 0 {
 		r.latency = took
@@ -86,38 +86,38 @@
 
 // RecordFailure records a failure, and ejects the target after several in a row, but never more
 // than half of the targets of a pool.
-func (w *Detector) RecordFailure(worker string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	r := w.get(worker)
+func (d *Detector) RecordFailure(worker string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	r := d.get(worker)
 	r.failures++
 	r.onTrial = false
 	if r.ejectedFor > 0 {
 		r.ejectedFor = min(time.Duration(ejectionGrowth*float64(r.ejectedFor)), longestEjection)
-		r.until = w.Clock.Now().Add(r.ejectedFor)
+		r.until = d.Clock.Now().Add(r.ejectedFor)
 		return
 	}
-	if r.failures >= consecutiveFailures && w.mayEject(worker) {
+	if r.failures >= consecutiveFailures && d.mayEject(worker) {
 		r.ejectedFor = firstEjection
-		r.until = w.Clock.Now().Add(r.ejectedFor)
+		r.until = d.Clock.Now().Add(r.ejectedFor)
 	}
 }
 
 // RecordInconclusive records the end of a request whose outcome says nothing about the target.
-func (w *Detector) RecordInconclusive(worker string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.get(worker).onTrial = false
+func (d *Detector) RecordInconclusive(worker string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.get(worker).onTrial = false
 }
 
-func (w *Detector) mayEject(worker string) bool {
-	if w.Peers == nil {
+func (d *Detector) mayEject(worker string) bool {
+	if d.Peers == nil {
 		return true
 	}
-	peers := w.Peers(worker)
+	peers := d.Peers(worker)
 	ejected := 0
 	for _, p := range peers {
-		if w.get(p).ejectedFor > 0 {
+		if d.get(p).ejectedFor > 0 {
 			ejected++
 		}
 	}
@@ -125,18 +125,18 @@
 }
 
 // Latency returns the average response time of a target, 0 if unknown.
-func (w *Detector) Latency(worker string) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.get(worker).latency
+func (d *Detector) Latency(worker string) time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.get(worker).latency
 }
 
 // Ejected returns the ejected targets and the times until which they are ejected.
-func (w *Detector) Ejected() map[string]time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (d *Detector) Ejected() map[string]time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	m := make(map[string]time.Time)
-	for worker, r := range w.targets {
+	for worker, r := range d.targets {
 		if r.ejectedFor > 0 {
 			m[worker] = r.until
 		}
--- a/services/platform/platform.go
+++ b/services/platform/platform.go
@@ -41,7 +41,7 @@
 type Listing struct {
 	Revision uint64         `json:"revision"` // never decreases
 	Workers  []fleet.Worker `json:"workers"`
-	Entries  []string       `json:"entries"` // names of the system's own instances
+	Entries  []string       `json:"entries"` // names of the listed entries, which are instances of this system
 }
 
 // Tasks is the platform's control of the tasks on its workers.
--- a/services/pools/decider_test.go
+++ b/services/pools/decider_test.go
@@ -66,6 +66,9 @@
 	assert.Equal(t, y.s.Offset, before, "it proposes nothing without the role")
 }
 
+// TestRefusedRebootIsRequestedAgain checks that a refused reboot is requested again at the next
+// run, and one with an unknown outcome is not, since each request that has an effect causes another
+// reboot.
 func TestRefusedRebootIsRequestedAgain(t *testing.T) {
 	refuse := true
 	y, d, requests := newRebootTest(t, func() error {
--- a/services/pools/maintain.go
+++ b/services/pools/maintain.go
@@ -67,8 +67,8 @@
 	return clock >= m.From || clock < m.Until // the window spans midnight
 }
 
-// rebootLimit is how long a reboot makes other racks wait; a worker that takes longer may never
-// return.
+// rebootLimit is how long a rebooting worker keeps other racks from maintenance; a worker that takes
+// longer may never return.
 const rebootLimit = time.Hour
 
 // racksInMaintenance returns the racks with an instance in maintenance that can still return, in
--- a/services/pools/maintain_test.go
+++ b/services/pools/maintain_test.go
@@ -90,7 +90,7 @@
 }
 
 // TestMoreRacksNearEndOfPeriod checks that near the end of the period several racks are maintained
-// at once.
+// at once, so that instances do not become overdue while they wait for one rack after another.
 func TestMoreRacksNearEndOfPeriod(t *testing.T) {
 	for late, want := range map[float64]int{0.81: 1, 0.86: 2, 0.91: 4, 0.96: 8} {
 		y := newCluster(12, pool("a", 2, 0))
--- a/services/slots/holder.go
+++ b/services/slots/holder.go
@@ -50,7 +50,7 @@
 	dirty      bool // the newest count has not been reported to the owner
 }
 
-func (h *targetState) idle() int { return h.held - h.inUse }
+func (t *targetState) idle() int { return t.held - t.inUse }
 
 // poolState is the targets of one pool and the requests that wait for it.
 type poolState struct {
--- a/services/slots/link.go
+++ b/services/slots/link.go
@@ -45,8 +45,8 @@
 	sent      bool // an exchange was sent, so that the owner may have lent slots
 }
 
-// Run periodically asks owners again that refused, until the context ends. Exchanges run only
-// during that time.
+// Run repeats requests to owners that refused periodically, until the context ends. Exchanges run
+// only during that time.
 func (l *Exchanger) Run(ctx context.Context) {
 	l.mu.Lock()
 	l.ctx = ctx
@@ -121,7 +121,7 @@
 	if err != nil || g.Stale || g.Behind {
 		k.needsFull = true
 		h.requestExchanges(h.markUnresponsive(k.owner))
-		k.exchanger.Logger.Debug().Err(err).Str("owner", k.owner).Bool("behind", g.Behind).Msg("slots not exchanged")
+		k.exchanger.Logger.Debug().Err(err).Str("owner", k.owner).Bool("behind", g.Behind).Msg("slot exchange failed")
 		select {
 		case <-h.Clock.After(retryPause):
 		case <-ctx.Done():
@@ -187,8 +187,8 @@
 	return ok && e.Present
 }
 
-// accept takes over the granted slots. A grant under an ownership other than the one known here is
-// dropped and must be reported to the owner.
+// accept adds the granted slots to those held. A grant under an ownership other than the one known
+// here is dropped, and must be reported to the owner by a full exchange.
 func (h *Holder) accept(owner string, x Exchange, g ExchangeResponse) (dropped bool, owners []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/services/slots/network_test.go
+++ b/services/slots/network_test.go
@@ -349,6 +349,9 @@
 	}
 }
 
+// TestSlotLimitAndIdleTargets checks that no target works on more requests than it has slots, and
+// that none is reported as idle while it works on one, whichever messages are lost, delayed or
+// overtaken by a handoff, and whichever entries are suspended, killed or stopped.
 func TestSlotLimitAndIdleTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(3)
--- a/services/slots/notice.go
+++ b/services/slots/notice.go
@@ -9,7 +9,7 @@
 	"github.com/yardbridge/yardbridge/models/fleet"
 )
 
-// notice is early information that a target leaves.
+// notice is information that a target leaves, received before the log reports it.
 type notice struct {
 	boot      int // of the worker when the notice was received
 	at        time.Time
--- a/services/slots/notice_test.go
+++ b/services/slots/notice_test.go
@@ -24,6 +24,9 @@
 	return n
 }
 
+// TestLeavingNoticeExpires checks that a target is used again after a notice that it leaves: once the
+// log shows that it is back, or if the log does not confirm the notice in time. Otherwise a withdrawn
+// notice would keep the target out of use for as long as the process runs.
 func TestLeavingNoticeExpires(t *testing.T) {
 	n := newNetwork(1)
 	d := n.nodes["e0"]
--- a/services/slots/pick.go
+++ b/services/slots/pick.go
@@ -107,5 +107,6 @@
 	return owners
 }
 
-// RetryPeriod is how often owners that refused are asked again without a notification.
+// RetryPeriod is the period after which owners that refused are asked again even without a
+// notification.
 const RetryPeriod = 250 * time.Millisecond
