--- a/cmd/apply.go
+++ b/cmd/apply.go
@@ -25,7 +25,7 @@
 func defineFileFlags(flags *flag.FlagSet) *fileFlags {
 	f := &fileFlags{}
 	flags.Int64Var(&f.base, "base", -1, "version that the file was written against (default: the newest)")
-	flags.BoolVar(&f.short, "short", false, "accept a file that asks for more instances than there are")
+	flags.BoolVar(&f.short, "short", false, "accept a file that requires more instances than there are")
 	return f
 }
 
--- a/cmd/client.go
+++ b/cmd/client.go
@@ -43,7 +43,7 @@
 // clientFlags defines the flags of every subcommand that calls the API.
 func clientFlags(flags *flag.FlagSet) *client {
 	c := &client{}
-	flags.StringVar(&c.server, "server", envOr(envServer, defaultServer), "IP and port of an entry's administration, or "+envServer)
+	flags.StringVar(&c.server, "server", envOr(envServer, defaultServer), "IP address and port of an entry's administration API, or "+envServer)
 	flags.StringVar(&c.token, "token", os.Getenv(envToken), "token for the administration API, or "+envToken)
 	flags.BoolVar(&c.json, "json", false, "write JSON")
 	return c
--- a/cmd/cmd.go
+++ b/cmd/cmd.go
@@ -38,7 +38,7 @@
 type command struct {
 	name        string
 	summary     string
-	longRunning bool // it runs until it is stopped
+	longRunning bool // it runs until a signal stops it
 	run         func(ctx context.Context, c console, flags *flag.FlagSet, args []string) error
 }
 
@@ -61,8 +61,8 @@
 		{"get", "show declared objects or instances", false, runGet},
 		{"dump", "show the state of an entry process", false, runDump},
 		{"job", "submit, cancel or show job runs", false, runJob},
-		{"customer-key", "make a customer's key and the sum of it that a declarative file holds", false, runCustomerKey},
-		{"key", "make a key under which something runs at most once", false, runKey},
+		{"customer-key", "create a customer's key, and its hash for a declarative file", false, runCustomerKey},
+		{"key", "create a key with which a request or a job runs at most once", false, runKey},
 	}
 }
 
@@ -90,7 +90,7 @@
 			return c.run(ctx, k, args[1:])
 		}
 	}
-	c.printError(fmt.Sprintf("yardbridge: %q is no subcommand", args[0]))
+	c.printError(fmt.Sprintf("yardbridge: unknown subcommand %q", args[0]))
 	usage(errOut)
 	return ExitUsage
 }
@@ -201,7 +201,7 @@
 	}
 	n := flags.NArg()
 	if n < least || most >= 0 && n > most {
-		return usageError{fmt.Sprintf("%d arguments are too few or too many; usage: %s %s", n, flags.Name(), usage)}
+		return usageError{fmt.Sprintf("wrong number of arguments (%d); usage: %s %s", n, flags.Name(), usage)}
 	}
 	return nil
 }
--- a/cmd/node.go
+++ b/cmd/node.go
@@ -24,8 +24,8 @@
 	"github.com/yardbridge/yardbridge/services/measure"
 )
 
-// memoryLimitShare is the part of a node's memory that the runtime is told to stay under, so that
-// memory which it can't count has enough space.
+// memoryLimitShare is the part of a node's memory that is set as the runtime's memory limit, so that
+// enough is left for memory which the runtime does not count.
 const memoryLimitShare = 0.7
 
 // storeChannels is the number of channels to the store that are kept open: one for each pool and
@@ -133,8 +133,8 @@
 	idleTimeout = 2 * time.Minute // between the requests of a connection
 	headerBytes = 16 << 10        // of the head of a request, like the operators' limit
 	// callerConnections is the largest number of concurrent connections. Of the 3,900 descriptors
-	// that a process has for sockets, the rest is for workers, other nodes and the store; at about
-	// 30 kB each they take 60 MB of 284.
+	// that a process has for sockets, the rest is for workers, other nodes and the store. At about
+	// 30 kB each, 2,048 connections take 60 MB of 284 MB.
 	callerConnections = 2048
 )
 
@@ -206,9 +206,9 @@
 	// listenShare is the part of the grace period after which the node stops listening, whether its
 	// pools are handed over by then or not; the remaining time is for callers.
 	listenShare = 0.35
-	// connectionWait is how long the node waits for callers' kept connections, and continues to
-	// listen while there are some. The platform probes each second whether a node is ready, and
-	// sends it no new callers after two responses that it is not.
+	// connectionWait is how long the node waits for callers to close their kept connections; it
+	// continues to listen while there are some. The platform probes each second whether a node is
+	// ready, and sends it no new callers after two responses that it is not.
 	connectionWait = 2200 * time.Millisecond
 	// probeResponseTime is the time for responses in flight to the platform's probes.
 	probeResponseTime = 50 * time.Millisecond
@@ -239,7 +239,8 @@
 	grace := p.setting.Bounds.ShutdownGrace.Std()
 	bounded, end := context.WithTimeout(ctx, share(grace, cancelShare))
 	defer end()
-	// Callers with kept connections are told with their next response to connect elsewhere.
+	// The next response on each kept connection announces that the connection closes, so that the
+	// caller connects elsewhere.
 	p.callers.DisableKeepAlives()
 	handedOver := make(chan struct{})
 	go p.handOver(bounded, handedOver)
--- a/cmd/node_settings.go
+++ b/cmd/node_settings.go
@@ -78,7 +78,7 @@
 func (w *settingsWatcher) load() {
 	s, err := setting.ParseNode(w.path, string(w.known))
 	if err != nil {
-		w.logger.Error().Str("event", "reload").Str("outcome", "kept").Err(err).Msg("wrong settings; the known settings stay in force")
+		w.logger.Error().Str("event", "reload").Str("outcome", "kept").Err(err).Msg("invalid settings; the known settings stay in force")
 		return
 	}
 	w.apply(s)
--- a/cmd/node_settings_test.go
+++ b/cmd/node_settings_test.go
@@ -87,7 +87,7 @@
 	<-waits
 	write(strings.Replace(nodeSettings, `grace = "6s"`, `grace = "soon"`, 1))
 	tick <- time.Time{} // nothing is applied
-	assert.Assert(t, strings.Contains(<-lines, "wrong settings"))
+	assert.Assert(t, strings.Contains(<-lines, "invalid settings"))
 	<-waits
 	write(nodeSettings)
 	hangup <- struct{}{}
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -81,7 +81,7 @@
 	}
 	s, problems := setting.Parse(path, string(data))
 	if err := problems.Err(); err != nil {
-		logger.Error().Str("event", "reload").Str("outcome", "kept").Err(err).Msg("wrong settings; the known settings stay in force")
+		logger.Error().Str("event", "reload").Str("outcome", "kept").Err(err).Msg("invalid settings; the known settings stay in force")
 		return
 	}
 	restart := d.Reload(s)
--- a/cmd/standalone.go
+++ b/cmd/standalone.go
@@ -33,7 +33,7 @@
 func runStandalone(ctx context.Context, c console, flags *flag.FlagSet, args []string) error {
 	deployment := flags.String("deployment", "tablehold", "example to run: tablehold or haddad")
 	port := flags.Int("port", 7600, "first port on 127.0.0.1; 0 for any")
-	level := flags.String("log", "warn", "least level of the logs")
+	level := flags.String("log", "warn", "lowest level that is logged")
 	if err := parse(flags, args, "[flags]", 0, 0); err != nil {
 		return err
 	}
--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -17,7 +17,7 @@
 func runStandin(ctx context.Context, c console, flags *flag.FlagSet, args []string) error {
 	var o standin.Options
 	flags.StringVar(&o.Address, "listen", "127.0.0.1:7700", "IP and port")
-	flags.DurationVar(&o.Lag, "lag", 500*time.Millisecond, "how far the instance list is behind")
+	flags.DurationVar(&o.Lag, "lag", 500*time.Millisecond, "delay of the instance list")
 	flags.DurationVar(&o.BootTime, "boot", 2*time.Second, "how long a reboot takes")
 	flags.DurationVar(&o.Retention, "retention", 24*time.Hour, "how long the log keeps records")
 	file := flags.String("fleet", "", "file with the workers")
--- a/cmd/stop_test.go
+++ b/cmd/stop_test.go
@@ -36,8 +36,8 @@
 // callerCount is the number of callers.
 const callerCount = 30
 
-// startCallers makes the callers send requests one after another, until each is told that its connection
-// closes.
+// startCallers makes the callers send requests one after another, until a response announces that
+// the connection closes.
 func startCallers(t *testing.T, address, request string) *callerGroup {
 	k := &callerGroup{t: t, address: address, request: request}
 	for range callerCount {
@@ -144,8 +144,8 @@
 	})
 }
 
-// TestCallersBeyondConnectionLimit checks that a node serves callers up to the limit of connections and
-// tells further ones that there are too many.
+// TestCallersBeyondConnectionLimit checks that a node serves callers up to the limit of connections,
+// and refuses further ones with the error too-many-connections.
 func TestCallersBeyondConnectionLimit(t *testing.T) {
 	c, callers, _ := beginNode(t)
 	var list []net.Conn
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -12,8 +12,7 @@
 //go:embed *.toml
 var files embed.FS
 
-// Example is one deployment: its declarative file, its fleet, and a service to
-// try.
+// Example is one deployment: its declarative file, its fleet, and a service to try.
 type Example struct {
 	Name     string
 	Manifest string
@@ -30,7 +29,7 @@
 func Get(name string) (Example, error) {
 	service, ok := services[name]
 	if !ok {
-		return Example{}, errors.Errorf("%q is no example; allowed are tablehold, haddad", name)
+		return Example{}, errors.Errorf("unknown example %q; allowed are tablehold, haddad", name)
 	}
 	manifest, err := files.ReadFile(name + ".toml")
 	if err != nil {
--- a/tests/load_test.go
+++ b/tests/load_test.go
@@ -38,7 +38,7 @@
 	refused         map[string]int // refusals as not run, by kind
 	overloadRetries int            // requests retried after an entry was overloaded
 	unknown         int
-	disturbed       int // failed at an entry that the script killed or suspended
+	disturbed       int // requests that failed at an entry that the script killed or suspended
 	failures        []string
 }
 
--- a/tests/relay_test.go
+++ b/tests/relay_test.go
@@ -110,12 +110,12 @@
 func (r *relay) wait(f flow) {
 	for {
 		r.mu.Lock()
-		free, moved := r.target != "" && !r.delayed[f], r.changed
+		open, changed := r.target != "" && !r.delayed[f], r.changed
 		r.mu.Unlock()
-		if free {
+		if open {
 			return
 		}
-		<-moved
+		<-changed
 	}
 }
 
--- a/tests/world_test.go
+++ b/tests/world_test.go
@@ -24,7 +24,8 @@
 
 const token = "a-token-for-the-tests"
 
-// waitLimit ends a script that waits for an event that does not happen; it is not a measured bound.
+// waitLimit ends a script that waits for an event that does not happen. It is no limit within which
+// events must happen.
 const waitLimit = 90 * time.Second
 
 type testEnvKey struct{}
@@ -85,9 +86,9 @@
 	w.standin = w.awaitOutput(ts, p, `stand-in with .* at (\S+)`)[0]
 }
 
-// longDeadline is longer than a busy machine keeps a process waiting for a processor: with eight
-// copies of a script on three processors, requests were measured that ended about 6 s after their
-// arrival. A request that waits longer still fails its script.
+// longDeadline is longer than a process waits for a processor on a busy machine: with eight copies of
+// a script on three processors, some requests ended about 6 s after their arrival. A request that
+// waits longer than the deadline still fails its script.
 const longDeadline = "20s"
 
 var deadlineLine = regexp.MustCompile(`(?m)^deadline = "[0-9]+s"`)
