--- a/benchmarks/control_test.go
+++ b/benchmarks/control_test.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// suspected counts the pairs of an entry and another entry that it considers dead: a named one, or
-// any for the empty name.
+// suspected returns the sum over all entries of the members that each considers dead: of all members,
+// or only the named one unless the name is empty.
 func (c *cluster) suspected(name string) int {
 	n := 0
 	for _, d := range c.daemons {
--- a/benchmarks/maintain_test.go
+++ b/benchmarks/maintain_test.go
@@ -159,14 +159,14 @@
 	c.slack += float64(len(c.y.s.PoolInstances(manifest.SparePool)))
 }
 
-// cyclePeriod is the maintenance period, and simulatedTime the simulated time, in which everything
-// becomes due once.
+// cyclePeriod is the maintenance period of six weeks. simulatedTime is a quarter longer, so that every
+// instance becomes due at least once.
 const (
 	cyclePeriod   = 6 * 7 * 24 * time.Hour
 	simulatedTime = cyclePeriod * 5 / 4
 )
 
-// BenchmarkMaintain simulates a period of six weeks and a quarter of it more.
+// BenchmarkMaintain simulates maintenance for one and a quarter of its periods.
 func BenchmarkMaintain(b *testing.B) {
 	for _, z := range []size{currentSize, {400, 16, 10, 0, 0}} {
 		b.Run(z.String(), func(b *testing.B) {
@@ -205,7 +205,7 @@
 	for ; waitingOrRunning < z.workers/3; waitingOrRunning++ {
 		c.submitted++
 		r := submission(z, "", c.submitted, manifest.Batch, 4, "")
-		r.Submit.ID = fmt.Sprintf("long-%08d@", c.submitted) // longer than a key may be valid
+		r.Submit.ID = fmt.Sprintf("long-%08d@", c.submitted) // not a key, since a key would expire during the simulation
 		c.y.fold(r)
 	}
 	for _, r := range jobs.Place(c.y.s, writer, 1).Records {
