--- a/tools/capacity/tables.go
+++ b/tools/capacity/tables.go
@@ -26,7 +26,7 @@
 	keysPerSecond = 10.0     // assumed
 
 	fullReadRate    = 1 / 300.0 // full reads of the reports per second
-	reportRows      = 3.0       // reports of one run: running, its size, its end
+	reportRows      = 3.0       // changed reports of one run: its start, its size, its end
 	listChanges     = 4.0       // of the list, for each worker that fails or is replaced
 	drainRecords    = 4.0       // drain, drained, reboot, return
 	runRecords      = 4.0       // submit, place, running, done
@@ -54,19 +54,19 @@
 	{"fold-claim", "fold of a claim", "Fold/record=claim", "", "keys", "ns/record", designKeys},
 	{"fold-sighting", "fold of a change of a worker", "Fold/record=sighting", "", "workers", "ns/record", designWorkers},
 	{"assign-change", "plan after a changed file", "Assign", "", "workers", "change-ms", designWorkers},
-	{"assign-full", "plan from nothing", "Assign", "", "workers", "full-ms", designWorkers},
+	{"assign-full", "first plan, with all instances spare", "Assign", "", "workers", "full-ms", designWorkers},
 	{"place-plan", "placement of all waiting runs", "Place", "", "workers", "plan-ms", designWorkers},
 	{"place-change", "placement after a change while all workers are full", "Place", "", "workers", "change-ms", designWorkers},
-	{"reports", "one reading of all of the workers' reports", "Reports", "", "tasks", "platform-B", designRuns},
+	{"reports", "one full read of the workers' reports", "Reports", "", "tasks", "platform-B", designRuns},
 	{"rest-core", "processor time at rest", "Control/", "/rest", "entries", "core-pct", designEntries},
 	{"rest-peer", "bytes between entries at rest", "Control/", "/rest", "entries", "peer-B/s", designEntries},
 	{"rest-platform", "bytes to and from the platform at rest", "Control/", "/rest", "entries", "platform-B/s", designEntries},
 	{"rest-heap", "heap at rest", "Control/", "/rest", "entries", "heap-MB", designEntries},
 	{"changes-core", "processor time at two changes a second", "Control/", "/changes", "entries", "core-pct", designEntries},
 	{"changes-peer", "bytes between entries at two changes a second", "Control/", "/changes", "entries", "peer-B/s", designEntries},
-	{"fleet-core", "processor time by fleet", "ControlWorkers", "", "workers", "core-pct", designWorkers},
-	{"fleet-platform", "bytes to and from the platform by fleet", "ControlWorkers", "", "workers", "platform-B/s", designWorkers},
-	{"fleet-heap", "heap by fleet", "ControlWorkers", "", "workers", "heap-MB", designWorkers},
+	{"fleet-core", "processor time by size of the fleet", "ControlWorkers", "", "workers", "core-pct", designWorkers},
+	{"fleet-platform", "bytes to and from the platform by size of the fleet", "ControlWorkers", "", "workers", "platform-B/s", designWorkers},
+	{"fleet-heap", "heap by size of the fleet", "ControlWorkers", "", "workers", "heap-MB", designWorkers},
 	{"member-peer", "bytes of heartbeats", "Membership", "", "entries", "peer-B/s", designEntries},
 }
 
@@ -119,30 +119,30 @@
 	log := func(records float64) float64 { return records * s["key-log"].b }
 	plan := func(id string) float64 { return at(id) / 1000 * percent }
 	return []role{
-		{"all duties at rest: heartbeats, leases, list, log", at("rest-core"), at("rest-heap"), at("rest-peer") + at("rest-platform"), unmeasured,
-			"one probe a second with news on it; a lease's renewal every two seconds by its holder; long poll; a list is read only if it is newer"},
-		{"the same, for the fleet", s["fleet-core"].b * designWorkers, s["fleet-heap"].b * designWorkers, s["fleet-platform"].b * designWorkers, 0,
-			"books of slots and targets are rebuilt only when instances, owners or roster change"},
-		{"roll-out of configuration", changes * (at("changes-core") - at("rest-core")) / changesMeasured, 0,
+		{"all roles at rest: heartbeats, leases, instance list, log", at("rest-core"), at("rest-heap"), at("rest-peer") + at("rest-platform"), unmeasured,
+			"one probe a second, which carries status updates; a lease is renewed by its holder every two seconds; long poll; a list is read only if it is newer"},
+		{"the same, by size of the fleet", s["fleet-core"].b * designWorkers, s["fleet-heap"].b * designWorkers, s["fleet-platform"].b * designWorkers, 0,
+			"the accounts of slots and targets are rebuilt only when instances, owners or members change"},
+		{"rollout of the configuration", changes * (at("changes-core") - at("rest-core")) / changesMeasured, 0,
 			changes * (at("changes-peer") - at("rest-peer")) / changesMeasured, changes,
-			"long poll on the log; the entry that took the file asks each other entry once"},
+			"long poll on the log; the entry that accepted the file queries each other entry once"},
 		{"state and fold of decisions on pools, maintenance and jobs", fold(decided + jobRecords), (at("worker-heap") + at("run-heap")) / mega, log(decided + jobRecords), decided + jobRecords,
 			"one pure fold on every entry; sorted immutable tables, indexes rebuilt and never stored"},
 		{"claims of keys and their results", fold(2 * keysPerSecond), at("key-heap") / mega, log(2 * keysPerSecond), 2 * keysPerSecond,
 			"group commit (appends counted without it); a key carries its expiry"},
 		{"snapshots", unmeasured, snapshotBytes / mega, snapshotBytes * snapshotsPerDay / day, snapshotBytes / chunkBytes * snapshotsPerDay / day,
-			"every quarter of the retention, in chunks, by the holder of a lease"},
+			"written every quarter of the retention, in chunks, by the holder of a lease"},
 		{"pool decisions, on the holder", (changes + perSecond(lossesPerDay*listChanges)) * plan("assign-change"), 0, 0, 0,
-			"a plan for each change; one survey a plan"},
+			"one plan for each change; the instances are counted once for each plan"},
 		{"maintenance, on the holder", perSecond(designWorkers/cycleDays*drainRecords) * plan("assign-change"), 0, 0, 0,
 			"part of the same plan, one rack at a time and more near the end of the period"},
 		{"placement, on the holder", perSecond(runsPerDay*runRecords) * plan("place-change"), 0, 0, 0,
-			"after a change only the pools that it concerns are looked at; every remembered run waits for a whole worker here"},
+			"after a change only the affected pools are examined; here every stored run waits for a whole worker"},
 		{"reports of the workers, to the holder", unmeasured, 0, at("reports")*fullReadRate + perSecond(runsPerDay*reportRows)*s["reports"].b, 0,
-			"what has changed, every second; all, every five minutes, here with every remembered run under way"},
+			"changed reports are read every second, all reports every five minutes; here every stored run is active"},
 		{"slots between entries under load", unmeasured, unmeasured, unmeasured, 0,
-			"owners lend, holders keep what they use; messages only where need moves between entries"},
-		{"administration API", unmeasured, unmeasured, unmeasured, unmeasured, "answers from the folded state"},
+			"owners lend slots, and holders keep those that they use; messages are sent only when demand moves between entries"},
+		{"administration API", unmeasured, unmeasured, unmeasured, unmeasured, "responds from the folded state"},
 	}
 }
 
@@ -159,7 +159,7 @@
 		sum.bytes += valueOrZero(r.bytes)
 		sum.appends += valueOrZero(r.appends)
 	}
-	fmt.Fprintf(&b, "| what is measured, on an entry that holds every role | %s | %s | %s | %s | %s | |\n",
+	fmt.Fprintf(&b, "| sum of the measured values, on an entry that holds every role | %s | %s | %s | %s | %s | |\n",
 		cell(sum.core, 3), cell(sum.memory, 2), cell(sum.bytes, 0), cell(sum.appends, 2), fits(sum))
 	return b.String()
 }
